--- a/libs/arbutusrill_raft/__init__.py
+++ b/libs/arbutusrill_raft/__init__.py
@@ -1,4 +1,4 @@
-"""Replicated log of the control group."""
+"""Raft consensus: the replicated log of the control group."""
 
 from ._files import DiskFolder, Folder
 from ._log import LocalLog, LogStatus, LogUnavailableError, NotLeaderError, ReplicatedLog, StateMachine
--- a/libs/arbutusrill_raft/_core.py
+++ b/libs/arbutusrill_raft/_core.py
@@ -1,4 +1,4 @@
-"""State that the threads of one replica share, and the rules for changing it."""
+"""Raft state of one replica, shared by its threads, and its transitions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from arbutusrill_base import Clock, PartLog
 from arbutusrill_wire import messages
 
-from ._entries import NOTHING, Entry
+from ._entries import NO_OP, Entry
 from ._log import LogUnavailableError, NotLeaderError, StateMachine
 from ._membership import Membership, address_of
 from ._storage import Storage
@@ -19,16 +19,16 @@
 
 __all__ = ["Core", "InvariantError", "Progress", "Role"]
 
-_CLOCK_DRIFT = 0.05  # between two VMs, as a part of a time that both measure
+_MAX_CLOCK_DRIFT_FRACTION = 0.05  # difference of two VMs' clocks, as a fraction of the measured time
 _log = PartLog("raft")
 
 
 class InvariantError(Exception):
-    """A rule that the protocol guarantees is broken; the replica stops taking part."""
+    """A Raft safety property does not hold; the replica stops for good with a fault."""
 
 
 class Role(enum.Enum):
-    """What a replica does in its term."""
+    """Role of a replica in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -38,21 +38,22 @@
 
 
 class Progress:
-    """What the leader knows of one peer. Times are on the monotonic clock."""
+    """Replication progress of one peer, as tracked by the leader. Times are on the replica's clock."""
 
     __slots__ = ("acked_sent_at", "match_index", "next_index")
 
     def __init__(self, next_index: int):
         self.next_index = next_index
         self.match_index = 0
-        self.acked_sent_at = float("-inf")  # when the latest message was sent that the peer has answered
+        self.acked_sent_at = float("-inf")  # send time of the latest message that the peer has acknowledged
 
 
 class Core:
     """Term, role, log and commit index of one replica. Methods need `lock` to be held unless noted.
 
-    Conditions share the lock: `work` wakes the peers, `to_elect` the elections, `to_write` the writer, `to_apply`
-    the applier, and `changed` whoever waits for durability, leadership or a quorum round.
+    All conditions share `lock`. `peers_wakeup`, `elections_wakeup`, `writer_wakeup` and `applier_wakeup` each wake
+    the threads that they are named after; `state_changed` wakes threads that wait for durability, leadership,
+    applied entries or acknowledgements of a quorum.
     """
 
     def __init__(
@@ -66,281 +67,289 @@
         alone_since: float,
     ):
         self.storage = storage
-        self.machine = machine
+        self.state_machine = machine
         self.clock = clock
         self.timing = timing
         self.bounds = bounds
-        self.me = f"{address}/{storage.disk_id}"
+        self.own_id = f"{address}/{storage.disk_id}"
         self.lock = threading.RLock()
-        # Held around writes to the log files and their replacement by a snapshot; taken before `lock`.
-        self.files = threading.Lock()
-        # Held while a snapshot is saved or received; taken before `files` and `lock`.
-        self.snapshots = threading.Lock()
-        self.work, self.to_write, self.to_apply, self.to_elect, self.changed = (
+        # Held while log files are written or replaced by a snapshot. Lock order: before `lock`.
+        self.log_files_lock = threading.Lock()
+        # Held while a snapshot is saved or received. Lock order: before `log_files_lock` and `lock`.
+        self.snapshot_lock = threading.Lock()
+        self.peers_wakeup, self.writer_wakeup, self.applier_wakeup, self.elections_wakeup, self.state_changed = (
             threading.Condition(self.lock) for _ in range(5)
         )
         stored = storage.load()
         self.log = stored.log
-        self.to_restore = stored.snapshot  # state that the applier has to take over first
+        self.snapshot_to_restore = stored.snapshot  # restored by the applier before it applies entries
         self.snapshot_index = self.log.base_index
         self.commit_index = self.log.base_index
         self.applied_index = 0
         self.durable_index = self.log.last_index
-        self.pending: list[Entry] = []
+        self.unwritten_entries: list[Entry] = []  # in the log, not yet handed to the disk
         self.role = Role.FOLLOWER
         self.leader = ""
         self.leader_of_term: tuple[int, str] = (0, "")
         self.fault = ""
         self.stopping = False
-        self.round = 0  # increases with each round of votes
+        self.vote_round = 0  # incremented by each pre-vote and each vote; identifies late replies
         self.votes: set[str] = set()
         self.progress_by_peer: dict[str, Progress] = {}
         self.elected_at = 0.0
         self.first_index_of_term = 0
         self.uncommitted_bytes = 0
         self.proposal_by_index: dict[int, tuple[int, Future]] = {}
-        # No vote is given before then. Before it was started again, a replica may have extended a leader's lease.
-        self.no_vote_until = alone_since + timing.lease_s * (1 + _CLOCK_DRIFT)
-        # The first election is early: a leader that is there is heard before, and without one all wait for it.
-        free_at = max(clock.monotonic(), self.no_vote_until)
-        self._early_until = free_at + timing.election_max_s
-        self.election_at = free_at + self._early_wait_s()
-        self.on_membership: Callable[[], None] = lambda: None
-
-    # ---- short questions
+        # No vote is granted before this time: until its restart, the replica may have acknowledged a leader's message
+        # and so extended that leader's lease.
+        self.no_vote_until = alone_since + timing.lease_s * (1 + _MAX_CLOCK_DRIFT_FRACTION)
+        # The first election timeout is short. A running leader sends a heartbeat before it ends; without a leader,
+        # the whole group is unavailable until the election.
+        can_vote_at = max(clock.monotonic(), self.no_vote_until)
+        self._early_election_until = can_vote_at + timing.election_max_s
+        self.election_due_at = can_vote_at + self._early_election_delay_s()
+        self.on_membership_change: Callable[[], None] = lambda: None
 
     @property
     def term(self) -> int:
-        """Current term."""
+        """The current term."""
         return self.storage.term
 
     @property
     def membership(self) -> Membership | None:
-        """Latest membership, None before the group has formed."""
+        """The latest membership, committed or not; None before the group has formed."""
         return self.log.membership
 
     @property
     def is_voter(self) -> bool:
         """Whether this replica has a vote in the latest membership."""
-        return self.membership is not None and self.me in self.membership.voters
+        return self.membership is not None and self.own_id in self.membership.voters
 
     @property
-    def serves(self) -> bool:
-        """Whether this replica leads and has applied an entry of its own term, hence all older ones."""
+    def is_ready_leader(self) -> bool:
+        """Whether this replica leads and has applied the first entry of its term, hence all older ones."""
         return self.role is Role.LEADER and self.applied_index >= self.first_index_of_term
 
-    def quorum_sent_at(self) -> float:
-        """Returns a time since which a majority has answered a message of this leader."""
+    def quorum_acked_sent_at(self) -> float:
+        """Returns the latest time such that a majority has acknowledged a message sent at that time or later."""
         now = self.clock.monotonic()
         times = [
-            now if voter == self.me else self.progress_by_peer[voter].acked_sent_at for voter in self.membership.voters
+            now if voter == self.own_id else self.progress_by_peer[voter].acked_sent_at
+            for voter in self.membership.voters
         ]
         return sorted(times, reverse=True)[self.membership.quorum - 1]
 
-    def not_leader(self) -> NotLeaderError:
-        """Returns the error that names the known leader."""
-        return NotLeaderError(address_of(self.leader) if self.leader != self.me else "")
-
-    # ---- faults
+    def not_leader_error(self) -> NotLeaderError:
+        """Returns an error with the known leader's address, empty when unknown."""
+        return NotLeaderError(address_of(self.leader) if self.leader != self.own_id else "")
 
     def fail(self, reason: str) -> None:
-        """Stops taking part for good, keeping what is on the disk; takes the lock itself."""
+        """Stops the replica for good with the fault `reason`; its files stay as they are. Acquires `lock` itself."""
         with self.lock:
             if self.fault or self.stopping:
                 return
             self.fault = reason
-            _log.error("%s stops taking part: %s", self.me, reason)
+            _log.error("replica %s stops with a fault: %s", self.own_id, reason)
             self.role = Role.FAULTY
             self.leader = ""
-            self._fail_proposals(lambda: LogUnavailableError(reason, appended=True))
+            self._fail_pending_proposals(lambda: LogUnavailableError(reason, appended=True))
             self.wake_all()
 
-    def step_aside(self) -> None:
-        """Ends all threads and fails the proposals under way."""
+    def begin_shutdown(self) -> None:
+        """Signals all threads to end and fails the pending proposals."""
         self.stopping = True
-        self._fail_proposals(lambda: LogUnavailableError("the replica stops", appended=True))
+        self._fail_pending_proposals(lambda: LogUnavailableError("the replica stops", appended=True))
         self.wake_all()
 
-    def check(self, holds: bool, rule: str) -> None:
-        """Raises `InvariantError` and stops taking part when a rule is broken."""
+    def check_invariant(self, holds: bool, rule: str) -> None:
+        """Stops the replica with a fault and raises `InvariantError` unless `holds`; `rule` describes the invariant."""
         if not holds:
             self.fail(f"invariant broken: {rule}")
             raise InvariantError(rule)
 
-    def require_sound(self) -> None:
-        """Raises `messages.Refused` when this replica does not take part."""
+    def require_running(self) -> None:
+        """Raises `messages.Refused` when this replica has a fault or is stopping."""
         if self.fault or self.stopping:
             raise messages.Refused("faulty", self.fault or "the replica stops")
 
     def require_target(self, target: str) -> None:
-        """Refuses a message for another member, such as the one whose disk this VM has lost."""
-        self.require_sound()
-        if target != self.me:
-            raise messages.Refused("wrong_member", f"this replica is {self.me}, not {target}")
+        """Raises `messages.Refused` for a message to another member ID, such as that of a disk this VM has lost."""
+        self.require_running()
+        if target != self.own_id:
+            raise messages.Refused("wrong_member", f"this replica is {self.own_id}, not {target}")
 
     def wake_all(self) -> None:
         """Wakes all threads of the replica."""
-        for condition in (self.work, self.to_write, self.to_apply, self.to_elect, self.changed):
+        for condition in (
+            self.peers_wakeup,
+            self.writer_wakeup,
+            self.applier_wakeup,
+            self.elections_wakeup,
+            self.state_changed,
+        ):
             condition.notify_all()
 
-    # ---- terms and roles
-
-    def save_meta(self, term: int, vote: str) -> None:
-        """Makes term and vote durable; a disk error is a fault of the replica."""
+    def save_term_and_vote(self, term: int, vote: str) -> None:
+        """Makes term and vote durable; a disk error stops the replica and raises `messages.Refused`."""
         try:
-            self.storage.save_meta(term, vote)
+            self.storage.save_term_and_vote(term, vote)
         except OSError as error:
             self.fail(f"disk: {error}")
             raise messages.Refused("faulty", self.fault) from None
 
-    def postpone_election(self) -> None:
-        """Draws the time of the next election."""
+    def reset_election_timer(self) -> None:
+        """Restarts the election timeout with a new random duration."""
         now = self.clock.monotonic()
-        if self.role is Role.PRE_CANDIDATE and now < self._early_until:
-            # Others that were started with this replica may be a moment behind and refuse the first request.
-            wait = self._early_wait_s()
+        if self.role is Role.PRE_CANDIDATE and now < self._early_election_until:
+            # Replicas started at the same time may not be ready to vote yet and refuse the first request.
+            wait = self._early_election_delay_s()
         else:
             wait = random.uniform(self.timing.election_min_s, self.timing.election_max_s)
-        self.election_at = now + wait
+        self.election_due_at = now + wait
 
-    def _early_wait_s(self) -> float:
+    def _early_election_delay_s(self) -> float:
         return random.uniform(1, 2) * self.timing.heartbeat_s
 
     def step_down(self, term: int, why: str) -> None:
-        """Becomes a follower in `term`, which is at least the current one."""
+        """Becomes a follower in `term`, which must not be lower than the current term."""
         if term > self.term:
-            self.save_meta(term, "")
+            self.save_term_and_vote(term, "")
             self.leader = ""
         if self.role is Role.LEADER:
-            _log.info("%s no longer leads term %d: %s", self.me, self.term, why)
+            _log.info("%s steps down as leader of term %d: %s", self.own_id, self.term, why)
             self.leader = ""
-            self.postpone_election()
-            self._fail_proposals(lambda: LogUnavailableError(f"leadership lost: {why}", appended=True))
+            self.reset_election_timer()
+            self._fail_pending_proposals(lambda: LogUnavailableError(f"leadership lost: {why}", appended=True))
         if self.role is not Role.FAULTY:
             self.role = Role.FOLLOWER
         self.wake_all()
 
     def accept_leader(self, term: int, leader: str) -> None:
-        """Takes `leader` as the only leader of `term`, which is at least the current one."""
+        """Follows `leader` in `term`, which must not be lower than the current term.
+
+        Raises `InvariantError` when another leader of that term is known.
+        """
         known_term, known = self.leader_of_term
-        self.check(
+        self.check_invariant(
             known_term != term or known == leader, f"one leader per term: {known} and {leader} both lead term {term}"
         )
         if term > self.term or self.role is not Role.FOLLOWER:
             self.step_down(term, f"{leader} leads term {term}")
         self.leader_of_term = (term, leader)
         self.leader = leader
-        self.heard()
+        self.record_leader_contact()
 
-    def heard(self) -> None:
-        """Notes that the leader is alive."""
+    def record_leader_contact(self) -> None:
+        """Records a message from the leader: restarts the election timeout and refuses votes for `election_min_s`."""
         self.no_vote_until = self.clock.monotonic() + self.timing.election_min_s
-        self.postpone_election()
+        self.reset_election_timer()
+
+    def become_leader(self) -> None:
+        """Becomes the leader of the current term and appends a no-op entry.
 
-    def lead(self) -> None:
-        """Becomes the leader of the current term."""
+        Entries of older terms are committed only together with an entry of the current term.
+        """
         known_term, known = self.leader_of_term
-        self.check(known_term != self.term, f"one leader per term: {known} leads term {self.term} already")
-        self.leader_of_term = (self.term, self.me)
+        self.check_invariant(known_term != self.term, f"one leader per term: {known} leads term {self.term} already")
+        self.leader_of_term = (self.term, self.own_id)
         self.role = Role.LEADER
-        self.leader = self.me
+        self.leader = self.own_id
         self.elected_at = self.clock.monotonic()
         for peer in self.progress_by_peer:
             self.progress_by_peer[peer] = Progress(self.log.last_index + 1)
-        _log.info("%s leads term %d from entry %d on", self.me, self.term, self.log.last_index + 1)
+        _log.info("%s is leader of term %d, first entry %d", self.own_id, self.term, self.log.last_index + 1)
         self.first_index_of_term = self.log.last_index + 1
         self.uncommitted_bytes = sum(
-            self.log.at(index).cost for index in range(self.commit_index + 1, self.log.last_index + 1)
+            self.log.entry_at(index).memory_bytes for index in range(self.commit_index + 1, self.log.last_index + 1)
         )
-        self.append_own(NOTHING, b"")
-
-    # ---- log
+        self.append_as_leader(NO_OP, b"")
 
-    def append_own(self, kind: int, data: bytes) -> Entry:
-        """Adds an entry of this leader and hands it to the writer and the peers."""
+    def append_as_leader(self, kind: int, data: bytes) -> Entry:
+        """Appends an entry to the leader's log and wakes the writer and the peers."""
         entry = self.log.append(Entry(self.log.last_index + 1, self.term, kind, data))
-        self.pending.append(entry)
-        self.uncommitted_bytes += entry.cost
+        self.unwritten_entries.append(entry)
+        self.uncommitted_bytes += entry.memory_bytes
         if entry.index == self.log.membership_index:
-            self.on_membership()
-        self.to_write.notify_all()
-        self.work.notify_all()
+            self.on_membership_change()
+        self.writer_wakeup.notify_all()
+        self.peers_wakeup.notify_all()
         return entry
 
     def append_received(self, entries: list[Entry]) -> None:
-        """Adds the leader's entries, replacing those that contradict them."""
+        """Appends entries received from the leader; truncates the log at the first entry with a different term."""
         before = self.log.membership
         for position, entry in enumerate(entries):
             known = self.log.term_at(entry.index)
             if known == entry.term or entry.index <= self.log.base_index:
                 continue
             if known is not None:
-                self.check(
+                self.check_invariant(
                     entry.index > self.commit_index,
                     f"equal applied prefix: entry {entry.index} of term {known} is committed, not of term {entry.term}",
                 )
                 self.log.truncate_from(entry.index)
                 self.durable_index = min(self.durable_index, entry.index - 1)
             added = [self.log.append(new) for new in entries[position:]]
-            self.pending.extend(added)
-            self.to_write.notify_all()
+            self.unwritten_entries.extend(added)
+            self.writer_wakeup.notify_all()
             break
         if self.log.membership != before:
-            self.on_membership()
+            self.on_membership_change()
 
-    def written(self, last: Entry) -> None:
-        """Notes that the log is durable up to `last`, unless that entry was replaced meanwhile."""
+    def record_durable(self, last: Entry) -> None:
+        """Records that the log is durable up to `last`, unless that entry has been replaced during the write."""
         if self.log.term_at(last.index) == last.term and last.index > self.durable_index:
             self.durable_index = last.index
         self.advance_commit()
-        self.changed.notify_all()
+        self.state_changed.notify_all()
 
     def advance_commit(self) -> None:
-        """Commits, on the leader, what a majority of voters holds durably in this term."""
+        """On the leader, commits the entries that a majority of voters has made durable, up to one of this term."""
         if self.role is not Role.LEADER:
             return
-        held = [
-            self.durable_index if voter == self.me else self.progress_by_peer[voter].match_index
+        durable_indexes = [
+            self.durable_index if voter == self.own_id else self.progress_by_peer[voter].match_index
             for voter in self.membership.voters
         ]
-        index = sorted(held, reverse=True)[self.membership.quorum - 1]
+        index = sorted(durable_indexes, reverse=True)[self.membership.quorum - 1]
         if index > self.commit_index and self.log.term_at(index) == self.term:
-            self.commit(index)
+            self.commit_up_to(index)
 
-    def commit(self, index: int) -> None:
-        """Moves the commit index to `index`."""
-        self.check(
+    def commit_up_to(self, index: int) -> None:
+        """Sets the commit index; raises `InvariantError` when `index` is below the current one."""
+        self.check_invariant(
             index >= self.commit_index, f"the commit index never goes back: {index} is below {self.commit_index}"
         )
         if index > self.commit_index:
             if self.role is Role.LEADER:
                 new = range(self.commit_index + 1, index + 1)
-                self.uncommitted_bytes -= sum(self.log.at(number).cost for number in new)
+                self.uncommitted_bytes -= sum(self.log.entry_at(number).memory_bytes for number in new)
             self.commit_index = index
-            self.to_apply.notify_all()
+            self.applier_wakeup.notify_all()
 
-    # ---- proposals
+    def complete_proposal(self, entry: Entry, result: bytes | Exception | None) -> None:
+        """Completes the future of the proposal at an applied entry's index, if this replica has one.
 
-    def resolve(self, entry: Entry, answer: bytes | Exception | None) -> None:
-        """Hands the answer to the proposer of an applied entry, if it waits on this replica."""
+        The future fails when an entry of another term was committed at that index.
+        """
         term, future = self.proposal_by_index.pop(entry.index, (0, None))
         if future is None:
             return
         if term != entry.term:
-            answer = LogUnavailableError("another entry was committed in its place", appended=False)
-        _settle(future, answer)
+            result = LogUnavailableError("another entry was committed in its place", appended=False)
+        _complete_future(future, result)
 
-    def _fail_proposals(self, error: Callable[[], Exception]) -> None:
+    def _fail_pending_proposals(self, error: Callable[[], Exception]) -> None:
         for _, future in self.proposal_by_index.values():
-            _settle(future, error())
+            _complete_future(future, error())
         self.proposal_by_index.clear()
 
 
-def _settle(future: Future, answer: bytes | Exception | None) -> None:
+def _complete_future(future: Future, result: bytes | Exception | None) -> None:
     try:
-        if isinstance(answer, Exception):
-            future.set_exception(answer)
+        if isinstance(result, Exception):
+            future.set_exception(result)
         else:
-            future.set_result(answer)
+            future.set_result(result)
     except InvalidStateError:
-        pass  # the proposer has given up
+        pass  # cancelled by the proposer
--- a/libs/arbutusrill_raft/_log.py
+++ b/libs/arbutusrill_raft/_log.py
@@ -1,4 +1,4 @@
-"""Interface between the control role and the log that replicates its state."""
+"""Interfaces of a replicated log and of the state machine that it drives."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 class StateMachine(abc.ABC):
-    """Deterministic state that the log is applied to; called by one thread at a time, in log order."""
+    """Deterministic state machine; called by one thread at a time, in log order."""
 
     @abc.abstractmethod
     def apply(self, data: bytes) -> bytes:
-        """Applies one entry and returns the answer for its proposer."""
+        """Applies one entry and returns the result for its proposer."""
 
     @abc.abstractmethod
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
+        """Returns the whole state, serialized."""
 
     @abc.abstractmethod
     def restore(self, data: bytes) -> None:
-        """Replaces the whole state by an earlier `snapshot`."""
+        """Replaces the whole state by one that `snapshot` has returned."""
 
 
 class NotLeaderError(Exception):
-    """The replica does not lead; `leader` is the RPC address of the one that does, empty when unknown."""
+    """The replica is not the leader; `leader` is the RPC address of the known leader, empty when unknown."""
 
     def __init__(self, leader: str = ""):
         super().__init__(f"not the leader, try {leader}" if leader else "not the leader, which is unknown")
@@ -34,7 +34,10 @@
 
 
 class LogUnavailableError(Exception):
-    """No quorum answered in time. `appended` says whether the entry may still be committed later."""
+    """The log cannot serve the request: no quorum in time, a fault or a stop.
+
+    `appended` says whether the entry may still be committed later.
+    """
 
     def __init__(self, message: str, appended: bool):
         super().__init__(message)
@@ -43,7 +46,7 @@
 
 @dataclass(slots=True)
 class LogStatus:
-    """What one replica knows of its group; indexes count log entries from 1."""
+    """One replica's view of its group; indexes count log entries from 1."""
 
     replica: str
     role: str
@@ -57,25 +60,26 @@
 
 
 class ReplicatedLog(abc.ABC):
-    """Orders proposals over the replicas of a group and applies them to a state machine."""
+    """A log that a group of replicas agrees on and applies to a state machine."""
 
     @abc.abstractmethod
     def propose(self, data: bytes, timeout: float) -> bytes:
-        """Commits and applies `data` and returns the state machine's answer.
+        """Commits and applies `data` and returns the state machine's result.
 
         Raises `NotLeaderError` or `LogUnavailableError`. `timeout` is in seconds.
         """
 
     @abc.abstractmethod
     def confirm(self, timeout: float) -> None:
-        """Returns once this replica is known to have led at some moment after the call began.
+        """Returns once this replica has proven that it led at some time after the start of the call.
 
-        By then the state machine holds every entry committed before the call. Raises as `propose` does.
+        The state machine then includes every entry committed before the call, as a linearizable read needs. Raises
+        `NotLeaderError` or `LogUnavailableError`. `timeout` is in seconds.
         """
 
     @abc.abstractmethod
     def is_leader(self) -> bool:
-        """Says whether this replica believes that it leads; only `confirm` proves it."""
+        """Returns whether this replica considers itself the leader; only `confirm` proves it."""
 
     @abc.abstractmethod
     def status(self) -> LogStatus:
@@ -83,7 +87,7 @@
 
 
 class LocalLog(ReplicatedLog):
-    """A log of one replica without a disk, for tests of what stands on a log."""
+    """A single replica in memory, for tests of code that uses a `ReplicatedLog`."""
 
     def __init__(self, machine: StateMachine, address: str = ""):
         self._machine = machine
@@ -104,12 +108,12 @@
             return self._machine.apply(data)
 
     def confirm(self, timeout: float) -> None:
-        """Returns at once: the only replica always leads."""
+        """Returns at once: a single replica is always the leader."""
 
     def is_leader(self) -> bool:
         """Returns True."""
         return True
 
     def status(self) -> LogStatus:
-        """Returns the view of the only replica."""
+        """Returns the status of the single replica."""
         return LogStatus("local", "leader", 1, self._address, self._applied, self._applied, ["local"])
--- /dev/null
+++ b/libs/arbutusrill_raft/_log_threads.py
@@ -0,0 +1,141 @@
+"""Threads that write log entries to the disk and apply committed ones."""
+
+from __future__ import annotations
+
+from arbutusrill_base import PartLog
+
+from ._core import Core, Role
+from ._entries import COMMAND, MEMBERSHIP, Entry
+from ._frames import Snapshot
+
+__all__ = ["Applier", "Writer"]
+
+_MAX_APPLY_BATCH_BYTES = 256 * 1024  # limits the delay until a received snapshot is restored
+_log = PartLog("raft")
+
+
+class Writer:
+    """Writes appended entries to the disk; those that arrive during a write share the next sync (group commit)."""
+
+    def __init__(self, core: Core):
+        self._core = core
+
+    def run(self) -> None:
+        """Runs until the replica stops."""
+        core = self._core
+        while True:
+            with core.lock:
+                while not (core.unwritten_entries or core.stopping or core.fault):
+                    core.writer_wakeup.wait()
+                if core.stopping or core.fault:
+                    return
+            with core.log_files_lock:
+                batch = self._next_batch()
+                if not batch:
+                    continue
+                try:
+                    core.storage.append(batch)
+                except OSError as error:
+                    core.fail(f"disk: {error}")
+                    return
+            with core.lock:
+                core.record_durable(batch[-1])
+
+    def _next_batch(self) -> list[Entry]:
+        """Removes and returns unwritten entries, at most `Bounds.append_bytes` but at least one if there is any."""
+        core = self._core
+        with core.lock:
+            memory_bytes = count = 0
+            for entry in core.unwritten_entries:
+                memory_bytes += entry.memory_bytes
+                if count and memory_bytes > core.bounds.append_bytes:
+                    break
+                count += 1
+            batch, core.unwritten_entries = core.unwritten_entries[:count], core.unwritten_entries[count:]
+            return batch
+
+
+class Applier:
+    """Applies committed entries to the state machine, completes their proposals and takes snapshots."""
+
+    def __init__(self, core: Core):
+        self._core = core
+        self._applied_bytes = 0
+        self._applied_count = 0
+
+    def run(self) -> None:
+        """Runs until the replica stops."""
+        core = self._core
+        while True:
+            with core.lock:
+                while not (self._has_work() or core.stopping or core.fault):
+                    core.applier_wakeup.wait()
+                if core.stopping or core.fault:
+                    return
+                snapshot, core.snapshot_to_restore = core.snapshot_to_restore, None
+                entries = []
+                if snapshot is None:
+                    entries = core.log.slice(core.applied_index + 1, core.commit_index, _MAX_APPLY_BATCH_BYTES)
+            try:
+                if snapshot is not None:
+                    self._restore(snapshot)
+                for entry in entries:
+                    self._apply(entry)
+                self._snapshot_if_due()
+            except OSError as error:
+                core.fail(f"disk: {error}")
+            except Exception as error:
+                _log.exception("the state machine raised an exception")
+                core.fail(f"state machine: {error!r}")
+
+    def _has_work(self) -> bool:
+        core = self._core
+        return core.snapshot_to_restore is not None or core.commit_index > core.applied_index
+
+    def _restore(self, snapshot: Snapshot) -> None:
+        core = self._core
+        core.state_machine.restore(snapshot.data)
+        self._applied_bytes = self._applied_count = 0
+        with core.lock:
+            core.applied_index = snapshot.index
+            core.state_changed.notify_all()
+
+    def _apply(self, entry: Entry) -> None:
+        core = self._core
+        result: bytes | Exception = b""
+        if entry.kind == COMMAND:
+            try:
+                result = core.state_machine.apply(entry.data)
+            except Exception as error:  # deterministic: every replica skips the same entry
+                _log.exception("the state machine rejected entry %d by an exception", entry.index)
+                result = error
+        with core.lock:
+            core.applied_index = entry.index
+            self._applied_bytes += entry.memory_bytes
+            self._applied_count += 1
+            if entry.kind == MEMBERSHIP and core.role is Role.LEADER and not core.is_voter:
+                core.complete_proposal(entry, result)
+                core.step_down(core.term, "it was removed from the group")
+            core.complete_proposal(entry, result)
+            core.state_changed.notify_all()
+
+    def _snapshot_if_due(self) -> None:
+        """Saves a snapshot and drops the log that it covers when `Bounds.compact_*` are reached."""
+        core = self._core
+        if self._applied_bytes < core.bounds.compact_bytes and self._applied_count < core.bounds.compact_entries:
+            return
+        data = core.state_machine.snapshot()
+        with core.snapshot_lock:
+            with core.lock:
+                index = core.applied_index
+                if core.snapshot_to_restore is not None or index <= core.snapshot_index:
+                    return
+                log = core.log
+                snapshot = Snapshot(index, log.term_at(index), log.chain_at(index), log.membership_at(index), data)
+            core.storage.save_snapshot(snapshot)
+            with core.log_files_lock:
+                core.storage.remove_segments_before(index + 1)
+            with core.lock:
+                core.snapshot_index = index
+                core.log.compact(index, core.bounds.keep_bytes)
+        self._applied_bytes = self._applied_count = 0
--- a/libs/arbutusrill_raft/_membership.py
+++ b/libs/arbutusrill_raft/_membership.py
@@ -1,4 +1,4 @@
-"""Members of a replicated group and the changes allowed to them."""
+"""Membership of a replicated group and its allowed changes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def member_id(address: str, disk_id: str) -> str:
-    """Names a member by its RPC address and its disk, so that a replica with a lost disk is another member.
+    """Returns the ID of the replica with this address and disk; after the loss of its disk it is a new member.
 
     >>> member_id("10.0.0.1:7400", "3f2a91c0d4e5")
     '10.0.0.1:7400/3f2a91c0d4e5'
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Membership:
-    """Voters and learners of a group by member ID; learners receive the log and have no vote."""
+    """Member IDs of a group's voters and learners; learners receive the log and have no vote."""
 
     group: str
     voters: tuple[str, ...]
@@ -49,7 +49,7 @@
         return len(self.voters) // 2 + 1
 
     def find(self, name: str) -> str:
-        """Returns the one member with this ID or RPC address; raises `MembershipError` otherwise."""
+        """Returns the ID of the only member with this ID or RPC address; raises `MembershipError` otherwise."""
         found = [member for member in self.members if name in (member, address_of(member))]
         if len(found) == 1:
             return found[0]
@@ -58,11 +58,14 @@
         raise MembershipError(f"{name!r} is no member; the members are {', '.join(self.members)}")
 
     def with_learner(self, member: str) -> Membership:
-        """Returns the membership with one more learner; unchanged when it is a member already."""
+        """Returns the membership with `member` as a learner; unchanged when it is a member already."""
         return self if member in self.members else replace(self, learners=(*self.learners, member))
 
     def with_voter(self, member: str) -> Membership:
-        """Returns the membership with a learner made a voter; unchanged when it is a voter already."""
+        """Returns the membership with a learner made a voter; unchanged when it is a voter already.
+
+        Raises `MembershipError` when it is no member.
+        """
         if member in self.voters:
             return self
         if member not in self.learners:
@@ -71,7 +74,10 @@
         return replace(self, voters=(*self.voters, member), learners=learners)
 
     def without(self, member: str) -> Membership:
-        """Returns the membership without a member; unchanged when it is none."""
+        """Returns the membership without `member`; unchanged when it is no member.
+
+        Raises `MembershipError` for the last voter.
+        """
         if self.voters == (member,):
             raise MembershipError(f"{member} is the last voter")
         return replace(
@@ -81,12 +87,12 @@
         )
 
     def encode(self) -> bytes:
-        """Returns the form that log entries and snapshots carry."""
+        """Returns the JSON that log entries and snapshots hold."""
         return json.dumps({"group": self.group, "voters": self.voters, "learners": self.learners}).encode()
 
     @classmethod
     def decode(cls, data: bytes) -> Membership:
-        """Parses what `encode` returned.
+        """Parses the output of `encode`.
 
         >>> Membership.decode(Membership("g", ("a/1",)).encode())
         Membership(group='g', voters=('a/1',), learners=())
--- a/libs/arbutusrill_raft/_changes.py
+++ b/libs/arbutusrill_raft/_membership_changes.py
@@ -1,4 +1,4 @@
-"""Changes of a group's membership, one at a time, on its leader."""
+"""Membership changes of a group, made one at a time by its leader."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from arbutusrill_wire import messages
 
 from ._core import Core, Role
-from ._entries import MEMBERS
+from ._entries import MEMBERSHIP
 from ._log import LogUnavailableError
 from ._membership import Membership, MembershipError, address_of
 from ._transport import Transport
 
-__all__ = ["Changes"]
+__all__ = ["MembershipChanges"]
 
-_HEARD_WITHIN_S = 1.0  # a learner that has not answered for longer is not made a voter
+_MAX_LEARNER_SILENCE_S = 1.0  # a learner that has been silent for longer is not promoted
 _log = PartLog("raft")
 
 
-class Changes:
-    """Membership changes. Each is a log entry that counts from when a replica has it in its log.
+class MembershipChanges:
+    """Membership changes. Each is a log entry, in force on a replica as soon as it is appended to that replica's log.
 
-    A change starts only when the previous one is committed and the leader has committed an entry of its term;
+    A change starts only when the previous one is committed and the leader has applied an entry of its term;
     otherwise two majorities without a common voter could exist.
     """
 
@@ -35,52 +35,54 @@
         """Adds the replica at an RPC address as a learner and returns its member ID."""
         core = self._core
         deadline = core.clock.monotonic() + timeout
-        member = self._identify(address)
-        self._change(lambda members: members.with_learner(member), deadline)
+        member = self._fetch_member_id(address)
+        self._commit_change(lambda members: members.with_learner(member), deadline)
         return member
 
     def promote(self, member: str, timeout: float) -> None:
-        """Makes a learner a voter once it has caught up."""
+        """Makes a learner a voter once it holds all entries that are committed at the time of the call."""
         core = self._core
         deadline = core.clock.monotonic() + timeout
         with core.lock:
-            self._wait(lambda: True, deadline, "")
+            self._wait_as_leader(lambda: True, deadline, "")
             member = core.membership.find(member)
             if member in core.membership.voters:
                 return
-            goal = core.commit_index
-            self._wait(lambda: self._caught_up(member, goal), deadline, f"{member} has not caught up")
-        self._change(lambda members: members.with_voter(member), deadline)
+            target_index = core.commit_index
+            self._wait_as_leader(
+                lambda: self._has_caught_up(member, target_index), deadline, f"{member} has not caught up"
+            )
+        self._commit_change(lambda members: members.with_voter(member), deadline)
 
     def remove(self, member: str, timeout: float) -> None:
         """Removes a member, given by ID or RPC address."""
         core = self._core
         with core.lock:
-            self._wait(lambda: True, core.clock.monotonic() + timeout, "")
+            self._wait_as_leader(lambda: True, core.clock.monotonic() + timeout, "")
             member = core.membership.find(member)
-        self._change(lambda members: members.without(member), core.clock.monotonic() + timeout)
+        self._commit_change(lambda members: members.without(member), core.clock.monotonic() + timeout)
 
     def replace(self, old: str, new: str, timeout: float) -> str:
         """Adds the replica at RPC address `new`, makes it a voter, then removes member `old`."""
         core = self._core
         deadline = core.clock.monotonic() + timeout
-        member = self._identify(new)
+        member = self._fetch_member_id(new)
         with core.lock:
-            self._wait(lambda: True, deadline, "")
-            leaving = self._leaving(core.membership, old, member)
-        if leaving == member:
+            self._wait_as_leader(lambda: True, deadline, "")
+            removed = self._member_to_remove(core.membership, old, member)
+        if removed == member:
             raise MembershipError(f"{member} cannot replace itself; its disk is not lost")
-        if leaving is None and member not in core.membership.members:
+        if removed is None and member not in core.membership.members:
             raise MembershipError(f"{old!r} is no member; the members are {', '.join(core.membership.members)}")
-        self._change(lambda members: members.with_learner(member), deadline)
+        self._commit_change(lambda members: members.with_learner(member), deadline)
         self.promote(member, deadline - core.clock.monotonic())
-        if leaving is not None:
-            self._change(lambda members: members.without(leaving), deadline)
+        if removed is not None:
+            self._commit_change(lambda members: members.without(removed), deadline)
         return member
 
     @staticmethod
-    def _leaving(members: Membership, old: str, new: str) -> str | None:
-        """Returns the member that `old` names, or None when an earlier attempt has removed it."""
+    def _member_to_remove(members: Membership, old: str, new: str) -> str | None:
+        """Returns the member that `old` names, or None when an earlier attempt has already removed it."""
         named = [member for member in members.members if old in (member, address_of(member))]
         others = [member for member in named if member != new]
         if len(others) > 1:
@@ -89,13 +91,16 @@
             return others[0]
         return new if old == new else None
 
-    def _identify(self, address: str) -> str:
-        """Asks the replica at an address who it is; refuses one of another group or with a fault."""
+    def _fetch_member_id(self, address: str) -> str:
+        """Asks the replica at `address` for its member ID.
+
+        Raises `MembershipError` when it does not answer, has a fault or belongs to another group.
+        """
         core = self._core
         with core.lock:
-            self._wait(lambda: True, core.clock.monotonic(), "")
+            self._wait_as_leader(lambda: True, core.clock.monotonic(), "")
             group = core.membership.group
-            me = core.me
+            me = core.own_id
         if address == address_of(me):
             return me
         try:
@@ -108,30 +113,34 @@
             raise MembershipError(f"the replica at {address} belongs to group {reply.group}, not {group}")
         return reply.member
 
-    def _caught_up(self, member: str, goal: int) -> bool:
+    def _has_caught_up(self, member: str, target_index: int) -> bool:
         core = self._core
         progress = core.progress_by_peer.get(member)
         if progress is None:
             raise MembershipError(f"{member} is no member any more")
-        heard = core.clock.monotonic() - progress.acked_sent_at < _HEARD_WITHIN_S
-        return heard and progress.match_index >= goal
+        is_responsive = core.clock.monotonic() - progress.acked_sent_at < _MAX_LEARNER_SILENCE_S
+        return is_responsive and progress.match_index >= target_index
 
-    def _change(self, make: Callable[[Membership], Membership], deadline: float) -> None:
-        """Commits the membership that `make` returns for the current one."""
+    def _commit_change(self, transform: Callable[[Membership], Membership], deadline: float) -> None:
+        """Commits the membership that `transform` returns for the current one; does nothing when they are equal."""
         core = self._core
         future: Future = Future()
         with core.lock:
-            self._wait(
-                lambda: core.serves and core.log.membership_index <= core.commit_index,
+            self._wait_as_leader(
+                lambda: core.is_ready_leader and core.log.membership_index <= core.commit_index,
                 deadline,
                 "an earlier membership change is not committed",
             )
             before = core.membership
-            after = make(before)
+            after = transform(before)
             if after == before:
                 return
-            _log.info("members: voters %s, learners %s", ", ".join(after.voters), ", ".join(after.learners) or "none")
-            entry = core.append_own(MEMBERS, after.encode())
+            _log.info(
+                "membership change: voters %s, learners %s",
+                ", ".join(after.voters),
+                ", ".join(after.learners) or "none",
+            )
+            entry = core.append_as_leader(MEMBERSHIP, after.encode())
             core.proposal_by_index[entry.index] = (entry.term, future)
             core.advance_commit()
         try:
@@ -139,17 +148,21 @@
         except TimeoutError:
             raise LogUnavailableError("the membership change is not committed in time", appended=True) from None
 
-    def _wait(self, condition: Callable[[], bool], deadline: float, problem: str) -> None:
-        """Waits, with the lock held, while this replica leads; raises as `Replica.propose` does."""
+    def _wait_as_leader(self, condition: Callable[[], bool], deadline: float, problem: str) -> None:
+        """Waits until `condition` holds; `core.lock` must be held.
+
+        Raises `NotLeaderError` when this replica does not lead, and `LogUnavailableError` when it stops, or with
+        `problem` at the deadline.
+        """
         core = self._core
         while True:
             if core.fault or core.stopping:
                 raise LogUnavailableError(core.fault or "the replica stops", appended=False)
             if core.role is not Role.LEADER:
-                raise core.not_leader()
+                raise core.not_leader_error()
             if condition():
                 return
             remaining = deadline - core.clock.monotonic()
             if remaining <= 0:
                 raise LogUnavailableError(problem, appended=False)
-            core.changed.wait(remaining)
+            core.state_changed.wait(remaining)
--- a/libs/arbutusrill_raft/_peer.py
+++ b/libs/arbutusrill_raft/_peer.py
@@ -1,4 +1,4 @@
-"""One thread for each peer: votes, appends, heartbeats and snapshots."""
+"""Calls to one peer: votes, appends, heartbeats and snapshots."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 @dataclass(slots=True)
-class _Job:
-    """One call to the peer and what to do with its reply, under the lock."""
+class _Call:
+    """A call to the peer. `on_reply` handles request, reply and send time, with `core.lock` held."""
 
     name: str
     request: Any
     sent_at: float
-    done: Callable[[Any, Any, float], None]
+    on_reply: Callable[[Any, Any, float], None]
 
 
 @dataclass(slots=True)
-class _Transfer:
-    """A snapshot file on its way to the peer."""
+class _SnapshotTransfer:
+    """A snapshot file that is being sent to the peer; `size` and `offset` in bytes."""
 
     name: str
     index: int
@@ -40,7 +40,7 @@
 
 
 class Peer:
-    """Talks to one peer, one call at a time, so that a slow peer holds back nobody else."""
+    """Sends messages to one peer, one at a time, in a thread of its own, so that a slow peer delays no other."""
 
     def __init__(self, core: Core, elections: Elections, transport: Transport, member: str):
         self.member = member
@@ -48,11 +48,11 @@
         self._core = core
         self._elections = elections
         self._transport = transport
-        self._asked_round = 0
-        self._sent_at = float("-inf")
-        self._not_before = float("-inf")
-        self._term = 0
-        self._transfer: _Transfer | None = None
+        self._requested_round = 0
+        self._append_sent_at = float("-inf")
+        self._retry_not_before = float("-inf")
+        self._append_term = 0
+        self._snapshot_transfer: _SnapshotTransfer | None = None
 
     def run(self) -> None:
         """Runs until the peer is no longer a member or the replica stops."""
@@ -60,105 +60,102 @@
         while True:
             with core.lock:
                 try:
-                    job = self._next()
+                    call = self._next_call()
                 except OSError as error:
                     core.fail(f"disk: {error}")
                     return
-            if job is None:
+            if call is None:
                 return
             try:
-                reply = self._transport.call(address_of(self.member), job.name, job.request, core.timing.call_s)
+                reply = self._transport.call(address_of(self.member), call.name, call.request, core.timing.call_s)
             except (OSError, messages.Refused):
                 reply = None
             with core.lock:
                 if reply is None:
-                    self._failed(job)
+                    self._handle_failure(call)
                 else:
-                    self._take(job, reply)
+                    self._handle_reply(call, reply)
 
-    def _failed(self, job: _Job) -> None:
-        # Counted from the sending: a call to a silent connection takes most of an election timeout itself.
-        self._not_before = job.sent_at + self._core.timing.heartbeat_s
-        if job.name == "vote":
-            self._asked_round = 0  # asks again in this round
+    def _handle_failure(self, call: _Call) -> None:
+        # The retry delay counts from the send time: a call that times out takes most of an election timeout already.
+        self._retry_not_before = call.sent_at + self._core.timing.heartbeat_s
+        if call.name == "vote":
+            self._requested_round = 0  # repeats the request in the same round
 
-    def _take(self, job: _Job, reply: Any) -> None:
+    def _handle_reply(self, call: _Call, reply: Any) -> None:
         core = self._core
         try:
             if reply.term > core.term:
                 core.step_down(reply.term, f"{self.member} is in term {reply.term}")
             elif not core.fault:
-                job.done(job.request, reply, job.sent_at)
+                call.on_reply(call.request, reply, call.sent_at)
         except messages.Refused:
-            pass  # the disk has failed, the replica no longer takes part
+            pass  # the disk has failed; `Core.save_term_and_vote` has stopped the replica
 
-    def _next(self) -> _Job | None:
-        """Waits for the next thing to send; returns None at the end."""
+    def _next_call(self) -> _Call | None:
+        """Waits until a call is due and returns it; None when the peer is removed or the replica stops."""
         core = self._core
         while not (core.stopping or core.fault or self.stopped):
             now = core.clock.monotonic()
             wait = None
             if core.role in (Role.PRE_CANDIDATE, Role.CANDIDATE):
-                wait = self._not_before - now
-                if self._asked_round == core.round or self.member not in core.membership.voters:
+                wait = self._retry_not_before - now
+                if self._requested_round == core.vote_round or self.member not in core.membership.voters:
                     wait = None
                 elif wait <= 0:
-                    return self._vote(now)
+                    return self._vote_call(now)
             elif core.role is Role.LEADER:
-                wait = self._wait_to_append(now)
+                wait = self._append_delay_s(now)
                 if wait <= 0:
-                    self._sent_at = now
-                    return self._append(now)
-            core.work.wait(wait)
+                    self._append_sent_at = now
+                    return self._append_call(now)
+            core.peers_wakeup.wait(wait)
         return None
 
-    def _wait_to_append(self, now: float) -> float:
+    def _append_delay_s(self, now: float) -> float:
+        """Returns the seconds until the next append or heartbeat is due; resets the transfer in a new term."""
         core = self._core
-        if self._term != core.term:
-            self._term = core.term
-            self._transfer = None
+        if self._append_term != core.term:
+            self._append_term = core.term
+            self._snapshot_transfer = None
             return 0
-        if now < self._not_before:
-            return self._not_before - now
+        if now < self._retry_not_before:
+            return self._retry_not_before - now
         progress = core.progress_by_peer[self.member]
         if progress.next_index <= core.log.last_index:
             return 0
-        return self._sent_at + core.timing.heartbeat_s - now
+        return self._append_sent_at + core.timing.heartbeat_s - now
 
-    # ---- votes
-
-    def _vote(self, now: float) -> _Job:
+    def _vote_call(self, now: float) -> _Call:
         core = self._core
-        self._asked_round = core.round
+        self._requested_round = core.vote_round
         pre_vote = core.role is Role.PRE_CANDIDATE
         request = messages.VoteRequest(
             core.term + 1 if pre_vote else core.term,
-            core.me,
+            core.own_id,
             core.log.last_index,
             core.log.last_term,
             pre_vote,
             target=self.member,
         )
-        asked = core.round
-        return _Job("vote", request, now, lambda _, reply, __: self._voted(asked, reply))
-
-    def _voted(self, asked: int, reply: Any) -> None:
-        if asked == self._core.round and reply.granted:
-            self._elections.count(self.member)
+        requested_round = core.vote_round
+        return _Call("vote", request, now, lambda _, reply, __: self._handle_vote_reply(requested_round, reply))
 
-    # ---- log
+    def _handle_vote_reply(self, requested_round: int, reply: Any) -> None:
+        if requested_round == self._core.vote_round and reply.granted:
+            self._elections.count_vote(self.member)
 
-    def _append(self, now: float) -> _Job:
+    def _append_call(self, now: float) -> _Call:
         core = self._core
         progress = core.progress_by_peer[self.member]
         previous = progress.next_index - 1
         if previous < core.log.base_index:
-            return self._snapshot(now)
-        self._transfer = None
+            return self._snapshot_call(now)
+        self._snapshot_transfer = None
         entries = core.log.slice(progress.next_index, core.log.last_index, core.bounds.append_bytes)
         request = messages.AppendRequest(
             core.term,
-            core.me,
+            core.own_id,
             previous,
             core.log.term_at(previous),
             [messages.LogEntry(entry.index, entry.term, entry.kind, entry.data) for entry in entries],
@@ -166,10 +163,10 @@
             target=self.member,
             previous_chain=core.log.chain_at(previous),
         )
-        return _Job("append", request, now, self._appended)
+        return _Call("append", request, now, self._handle_append_reply)
 
-    def _appended(self, request: Any, reply: Any, sent_at: float) -> None:
-        progress = self._acknowledged(request, sent_at)
+    def _handle_append_reply(self, request: Any, reply: Any, sent_at: float) -> None:
+        progress = self._record_ack(request, sent_at)
         if progress is None:
             return
         if reply.success:
@@ -178,37 +175,35 @@
             progress.next_index = max(progress.next_index, sent + 1, progress.match_index + 1)
             self._core.advance_commit()
         else:
-            hinted = min(reply.match_index + 1, request.previous_index)
-            progress.next_index = max(progress.match_index + 1, hinted)
+            retry_index = min(reply.match_index + 1, request.previous_index)
+            progress.next_index = max(progress.match_index + 1, retry_index)
 
-    def _acknowledged(self, request: Any, sent_at: float) -> Progress | None:
-        """Notes an answer in the term of the request; returns None when that leadership has ended."""
+    def _record_ack(self, request: Any, sent_at: float) -> Progress | None:
+        """Records a reply in the term of its request; returns None when this replica no longer leads that term."""
         core = self._core
         progress = core.progress_by_peer.get(self.member)
         if core.role is not Role.LEADER or core.term != request.term or progress is None:
             return None
         progress.acked_sent_at = max(progress.acked_sent_at, sent_at)
-        core.changed.notify_all()
+        core.state_changed.notify_all()
         return progress
 
-    # ---- snapshots
-
-    def _snapshot(self, now: float) -> _Job:
+    def _snapshot_call(self, now: float) -> _Call:
         core = self._core
-        if self._transfer is None:
+        if self._snapshot_transfer is None:
             name = core.storage.latest_snapshot()
             index = int(name.removeprefix("snapshot-"))
-            self._transfer = _Transfer(name, index, core.storage.snapshot_size(name))
-            _log.info("%s gets %s, %d bytes", self.member, name, self._transfer.size)
-        transfer = self._transfer
+            self._snapshot_transfer = _SnapshotTransfer(name, index, core.storage.snapshot_size(name))
+            _log.info("sending %s to %s, %d bytes", name, self.member, self._snapshot_transfer.size)
+        transfer = self._snapshot_transfer
         try:
             data = core.storage.read_snapshot(transfer.name, transfer.offset, core.bounds.chunk_bytes)
-        except FileNotFoundError:  # a newer snapshot has replaced it
-            self._transfer = None
-            return self._snapshot(now)
+        except FileNotFoundError:  # replaced by a newer snapshot
+            self._snapshot_transfer = None
+            return self._snapshot_call(now)
         request = messages.SnapshotRequest(
             core.term,
-            core.me,
+            core.own_id,
             transfer.index,
             core.log.term_at(transfer.index),
             transfer.offset,
@@ -216,15 +211,15 @@
             transfer.offset + len(data) >= transfer.size,
             target=self.member,
         )
-        return _Job("install_snapshot", request, now, self._sent_part)
+        return _Call("install_snapshot", request, now, self._handle_snapshot_reply)
 
-    def _sent_part(self, request: Any, reply: Any, sent_at: float) -> None:
-        progress = self._acknowledged(request, sent_at)
-        if progress is None or self._transfer is None:
+    def _handle_snapshot_reply(self, request: Any, reply: Any, sent_at: float) -> None:
+        progress = self._record_ack(request, sent_at)
+        if progress is None or self._snapshot_transfer is None:
             return
-        self._transfer.offset = reply.next_offset
-        if request.done and reply.next_offset >= self._transfer.size:
-            progress.match_index = max(progress.match_index, self._transfer.index)
-            progress.next_index = max(progress.next_index, self._transfer.index + 1)
-            self._transfer = None
+        self._snapshot_transfer.offset = reply.next_offset
+        if request.done and reply.next_offset >= self._snapshot_transfer.size:
+            progress.match_index = max(progress.match_index, self._snapshot_transfer.index)
+            progress.next_index = max(progress.next_index, self._snapshot_transfer.index + 1)
+            self._snapshot_transfer = None
             self._core.advance_commit()
--- a/libs/arbutusrill_raft/_receiver.py
+++ b/libs/arbutusrill_raft/_receiver.py
@@ -1,4 +1,4 @@
-"""The Raft service: what a replica answers to the others."""
+"""Handler of the Raft messages that a replica receives."""
 
 from __future__ import annotations
 
@@ -17,56 +17,55 @@
 
 
 class Receiver:
-    """Handler of the IDL's `Raft` service for one replica."""
+    """Implements the IDL's `Raft` service for one replica; its methods raise `messages.Refused`."""
 
     def __init__(self, core: Core):
         self._core = core
-        self._incoming: tuple[str, int, int] | None = None  # leader, last index and term of a snapshot
-        self._received = 0
+        self._incoming_snapshot: tuple[str, int, int] | None = None  # leader, last index and last term
+        self._received_bytes = 0
 
     def hello(self, caller: str) -> Any:
-        """Says which member this is and to which group it belongs."""
+        """Returns this replica's member ID, its group and its fault."""
         core = self._core
         with core.lock:
             members = core.membership
-            return messages.HelloReply(core.me, members.group if members else "", core.fault)
-
-    # ---- votes
+            return messages.HelloReply(core.own_id, members.group if members else "", core.fault)
 
     def vote(self, request: Any) -> Any:
-        """Grants or refuses a vote; a vote is durable before it is granted."""
+        """Grants or refuses a vote or pre-vote; a vote is made durable before the reply."""
         core = self._core
         with core.lock:
             core.require_target(request.target)
-            if self._hears_leader():
+            if self._leader_lease_may_hold():
                 return messages.VoteReply(core.term, False)
             if request.pre_vote:
-                return messages.VoteReply(core.term, request.term > core.term and self._is_current(request))
+                return messages.VoteReply(core.term, request.term > core.term and self._is_log_up_to_date(request))
             if request.term > core.term:
                 core.step_down(request.term, f"{request.candidate} stands in term {request.term}")
             granted = (
-                request.term == core.term and core.storage.vote in ("", request.candidate) and self._is_current(request)
+                request.term == core.term
+                and core.storage.vote in ("", request.candidate)
+                and self._is_log_up_to_date(request)
             )
             if granted:
-                core.save_meta(core.term, request.candidate)
-                core.postpone_election()
+                core.save_term_and_vote(core.term, request.candidate)
+                core.reset_election_timer()
             return messages.VoteReply(core.term, granted)
 
-    def _hears_leader(self) -> bool:
-        """Says whether a leader may still hold its lease on this replica's promise not to vote."""
+    def _leader_lease_may_hold(self) -> bool:
+        """Returns whether a leader may hold a lease that depends on this replica granting no vote."""
         core = self._core
         if core.role is Role.LEADER:
             return True
         return core.clock.monotonic() < core.no_vote_until
 
-    def _is_current(self, request: Any) -> bool:
+    def _is_log_up_to_date(self, request: Any) -> bool:
+        """Returns whether the candidate's log is at least as up to date as this replica's, by last term and index."""
         log = self._core.log
         return (request.last_term, request.last_index) >= (log.last_term, log.last_index)
 
-    # ---- log
-
     def append(self, request: Any) -> Any:
-        """Adds entries; answers once they are durable, or how far the log is durable after a bounded wait."""
+        """Appends entries and replies with the last durable index, after at most `Timing.durable_wait_s`."""
         core = self._core
         with core.lock:
             core.require_target(request.target)
@@ -75,9 +74,9 @@
             try:
                 core.accept_leader(request.term, request.leader)
                 if request.previous_index < core.log.base_index:
-                    # What is committed equals the leader's log, so the leader can go on from there.
+                    # Committed entries equal those of the leader, which can continue after them.
                     return messages.AppendReply(core.term, True, min(core.commit_index, core.durable_index))
-                hint = self._mismatch(request)
+                hint = self._conflict_hint(request)
                 if hint is not None:
                     return messages.AppendReply(core.term, False, hint)
                 rows = request.entries or []
@@ -86,23 +85,26 @@
                 raise messages.Refused("faulty", str(error)) from None
             matched = request.previous_index + len(rows)
             self._wait_durable(matched)
-            core.require_sound()
+            core.require_running()
             if core.term != request.term:
                 return messages.AppendReply(core.term, False, 0)
-            core.heard()
+            core.record_leader_contact()
             durable = min(matched, core.durable_index)
-            core.commit(max(core.commit_index, min(request.commit_index, durable)))
+            core.commit_up_to(max(core.commit_index, min(request.commit_index, durable)))
             return messages.AppendReply(core.term, True, durable)
 
-    def _mismatch(self, request: Any) -> int | None:
-        """Returns None when the log holds the previous entry, else the index after which to try next."""
+    def _conflict_hint(self, request: Any) -> int | None:
+        """Returns None when the log has the previous entry, else the index after which the leader should retry.
+
+        Raises `InvariantError` when the logs differ before an entry with the same index and term.
+        """
         core = self._core
         previous = request.previous_index
         term = core.log.term_at(previous)
         if term is None:
             return core.log.last_index
         if term == request.previous_term:
-            core.check(
+            core.check_invariant(
                 core.log.chain_at(previous) == request.previous_chain,
                 f"equal applied prefix: the running hash at entry {previous} differs from that of {request.leader}",
             )
@@ -118,14 +120,12 @@
             remaining = deadline - core.clock.monotonic()
             if remaining <= 0:
                 return
-            core.changed.wait(remaining)
-
-    # ---- snapshots
+            core.state_changed.wait(remaining)
 
     def install_snapshot(self, request: Any) -> Any:
-        """Takes one part of the leader's snapshot; the last part replaces the log that it covers."""
+        """Stores one chunk of the leader's snapshot; after the last one, installs the snapshot."""
         core = self._core
-        with core.snapshots:
+        with core.snapshot_lock:
             with core.lock:
                 core.require_target(request.target)
                 if request.term < core.term:
@@ -136,59 +136,61 @@
                     raise messages.Refused("faulty", str(error)) from None
                 if request.last_index <= core.commit_index:
                     return messages.SnapshotReply(core.term, request.offset + len(request.data))
-                if not self._expects(request):
-                    return messages.SnapshotReply(core.term, self._received)
+                if not self._is_next_chunk(request):
+                    return messages.SnapshotReply(core.term, self._received_bytes)
             try:
-                self._keep(request)
+                self._store_chunk(request)
             except OSError as error:
                 core.fail(f"disk: {error}")
                 raise messages.Refused("faulty", core.fault) from None
             with core.lock:
                 if core.term == request.term:
-                    core.heard()
-                return messages.SnapshotReply(core.term, self._received)
+                    core.record_leader_contact()
+                return messages.SnapshotReply(core.term, self._received_bytes)
 
-    def _expects(self, request: Any) -> bool:
+    def _is_next_chunk(self, request: Any) -> bool:
+        """Returns whether the chunk continues the transfer; a chunk at offset 0 starts a new one."""
         key = (request.leader, request.last_index, request.last_term)
         if request.offset == 0:
-            self._incoming, self._received = key, 0
-        elif key != self._incoming:
-            self._received = 0
-        return request.offset == self._received
+            self._incoming_snapshot, self._received_bytes = key, 0
+        elif key != self._incoming_snapshot:
+            self._received_bytes = 0
+        return request.offset == self._received_bytes
 
-    def _keep(self, request: Any) -> None:
+    def _store_chunk(self, request: Any) -> None:
         core = self._core
-        core.storage.receive(request.data, first=request.offset == 0)
-        self._received += len(request.data)
+        core.storage.append_snapshot_chunk(request.data, first=request.offset == 0)
+        self._received_bytes += len(request.data)
         if not request.done:
             return
-        with core.files:
+        with core.log_files_lock:
             try:
-                snapshot = core.storage.accept()
+                snapshot = core.storage.install_received_snapshot()
             except CorruptError as error:
-                _log.warning("snapshot from %s refused: %s", request.leader, error)
-                self._received = 0
+                _log.warning("received snapshot from %s discarded: %s", request.leader, error)
+                self._received_bytes = 0
                 return
             with core.lock:
-                self._install(snapshot)
+                self._install_snapshot(snapshot)
 
-    def _install(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
+        """Hands the snapshot to the applier; replaces the whole log unless it contains the snapshot's last entry."""
         core = self._core
         if snapshot.index <= core.commit_index:
             return
         if core.log.term_at(snapshot.index) == snapshot.term:
-            core.check(
+            core.check_invariant(
                 core.log.chain_at(snapshot.index) == snapshot.chain,
                 f"equal applied prefix: the running hash of the snapshot at entry {snapshot.index} differs",
             )
         else:
-            core.storage.forget_log()
-            core.pending.clear()
+            core.storage.remove_all_segments()
+            core.unwritten_entries.clear()
             core.log.reset(snapshot.index, snapshot.term, snapshot.chain, snapshot.membership)
             core.durable_index = snapshot.index
         core.durable_index = max(core.durable_index, snapshot.index)
-        _log.info("%s takes over a snapshot at entry %d", core.me, snapshot.index)
+        _log.info("%s installs a snapshot up to entry %d", core.own_id, snapshot.index)
         core.snapshot_index = snapshot.index
-        core.to_restore = snapshot
-        core.commit(snapshot.index)
-        core.on_membership()
+        core.snapshot_to_restore = snapshot
+        core.commit_up_to(snapshot.index)
+        core.on_membership_change()
--- a/libs/arbutusrill_raft/_storage.py
+++ b/libs/arbutusrill_raft/_storage.py
@@ -1,4 +1,4 @@
-"""Durable part of a replica: identity, term and vote, log segments and snapshots."""
+"""Durable state of a replica: identity, term and vote, log segments and snapshots."""
 
 from __future__ import annotations
 
@@ -13,31 +13,32 @@
 from ._files import Folder
 from ._frames import CorruptError, Snapshot, pack_entries, read_entries
 
-__all__ = ["Storage", "StorageError", "Stored"]
+__all__ = ["Storage", "StorageError", "LoadedState"]
 
-_IDENTITY = "identity.json"
-_META = "meta"
-_INCOMING = "incoming"
-_SEGMENT_BYTES = 4 * 1024 * 1024
+_IDENTITY_FILE = "identity.json"
+_META_FILE = "meta"
+_INCOMING_SNAPSHOT_FILE = "incoming"
+_MIN_SEGMENT_BYTES = 4 * 1024 * 1024  # a new segment begins after the frame that reaches this size
 _log = PartLog("raft")
 
 
 class StorageError(Exception):
-    """The files cannot be used; the message names the file and the problem."""
+    """A replica's files cannot be used; the message names the file and the problem."""
 
 
 @dataclass(slots=True)
-class Stored:
-    """What a replica had made durable before it stopped."""
+class LoadedState:
+    """Log and latest snapshot as read from the disk."""
 
     log: EntryLog
     snapshot: Snapshot | None
 
 
 class Storage:
-    """Files of one replica. Methods that write return when the change is durable and may raise `OSError`.
+    """Files of one replica. Unless noted, changes are durable on return; all methods may raise `OSError`.
 
-    `append`, `install` and `drop_before` are called by one thread at a time; `save_meta` by any one at a time.
+    `append`, `install_received_snapshot` and `remove_segments_before` must be called by one thread at a time, and so
+    must `save_term_and_vote`.
     """
 
     def __init__(self, folder: Folder, address: str):
@@ -46,54 +47,53 @@
         self._segment_size = 0
         self.term = 0
         self.vote = ""
-        self.disk_id = self._identify(address)
-        self._load_meta()
+        self.disk_id = self._load_or_create_identity(address)
+        self._load_term_and_vote()
 
     def close(self) -> None:
         """Closes the files."""
         self._folder.close()
 
-    # ---- identity, term and vote
-
-    def _identify(self, address: str) -> str:
+    def _load_or_create_identity(self, address: str) -> str:
+        """Returns the disk ID; raises `StorageError` when the folder belongs to another address or lost its ID."""
         names = self._folder.names()
-        if _IDENTITY in names:
+        if _IDENTITY_FILE in names:
             try:
-                value = json.loads(self._folder.read(_IDENTITY))
+                value = json.loads(self._folder.read(_IDENTITY_FILE))
                 known, disk_id = value["address"], value["disk_id"]
             except (ValueError, KeyError, TypeError):
-                raise StorageError(f"{_IDENTITY}: damaged; replace the disk of this replica") from None
+                raise StorageError(f"{_IDENTITY_FILE}: damaged; replace the disk of this replica") from None
             if known != address:
-                raise StorageError(f"{_IDENTITY}: this data folder belongs to the replica at {known}, not {address}")
+                raise StorageError(
+                    f"{_IDENTITY_FILE}: this data folder belongs to the replica at {known}, not {address}"
+                )
             return disk_id
-        if any(name == _META or name.startswith(("log-", "snapshot-")) for name in names):
-            raise StorageError(f"{_IDENTITY}: missing beside log files; replace the disk of this replica")
+        if any(name == _META_FILE or name.startswith(("log-", "snapshot-")) for name in names):
+            raise StorageError(f"{_IDENTITY_FILE}: missing beside log files; replace the disk of this replica")
         disk_id = secrets.token_hex(6)
-        self._folder.replace(_IDENTITY, json.dumps({"address": address, "disk_id": disk_id}).encode())
+        self._folder.replace(_IDENTITY_FILE, json.dumps({"address": address, "disk_id": disk_id}).encode())
         return disk_id
 
-    def _load_meta(self) -> None:
-        if _META not in self._folder.names():
+    def _load_term_and_vote(self) -> None:
+        if _META_FILE not in self._folder.names():
             return
         try:
-            checksum, _, body = self._folder.read(_META).partition(b" ")
+            checksum, _, body = self._folder.read(_META_FILE).partition(b" ")
             if xxhash.xxh64_hexdigest(body).encode() != checksum:
                 raise ValueError
             value = json.loads(body)
             self.term, self.vote = value["term"], value["vote"]
         except (ValueError, KeyError, TypeError):
-            raise StorageError(f"{_META}: damaged, the vote is lost; replace the disk of this replica") from None
+            raise StorageError(f"{_META_FILE}: damaged, the vote is lost; replace the disk of this replica") from None
 
-    def save_meta(self, term: int, vote: str) -> None:
-        """Writes the term and the vote given in it."""
+    def save_term_and_vote(self, term: int, vote: str) -> None:
+        """Writes the current term and the member ID voted for in it, empty for none."""
         body = json.dumps({"term": term, "vote": vote}).encode()
-        self._folder.replace(_META, xxhash.xxh64_hexdigest(body).encode() + b" " + body)
+        self._folder.replace(_META_FILE, xxhash.xxh64_hexdigest(body).encode() + b" " + body)
         self.term, self.vote = term, vote
 
-    # ---- start
-
-    def load(self) -> Stored:
-        """Reads the snapshot and the log; truncates a torn tail. Raises `StorageError` for other damage."""
+    def load(self) -> LoadedState:
+        """Reads the snapshot and the log; truncates a torn last write. Raises `StorageError` for other damage."""
         try:
             snapshot = self._load_snapshot()
             log = EntryLog()
@@ -103,12 +103,12 @@
         except CorruptError as error:
             raise StorageError(str(error)) from None
         if log.last_term > self.term:
-            raise StorageError(f"{_META}: older than the log; replace the disk of this replica")
-        return Stored(log, snapshot)
+            raise StorageError(f"{_META_FILE}: older than the log; replace the disk of this replica")
+        return LoadedState(log, snapshot)
 
     def _load_snapshot(self) -> Snapshot | None:
         for name in self._folder.names():
-            if name.startswith("new-") or name == _INCOMING:
+            if name.startswith("new-") or name == _INCOMING_SNAPSHOT_FILE:
                 self._folder.remove(name)
         names = self._snapshot_names()
         return Snapshot.decode(self._folder.read(names[-1]), names[-1]) if names else None
@@ -120,17 +120,20 @@
             data = self._folder.read(name)
             entries, intact = read_entries(data, name, may_be_torn=name == self._segments[-1])
             if intact < len(data):
-                _log.warning("%s: %d bytes of a torn write are truncated", name, len(data) - intact)
+                _log.warning("%s: truncated %d bytes of a torn write", name, len(data) - intact)
                 self._folder.truncate(name, intact)
             self._segment_size = intact
             for entry in entries:
                 conflict = self._replay(log, entry, name, conflict)
         if conflict:
             log.truncate_from(log.base_index + 1)
-            self.forget_log()
+            self.remove_all_segments()
 
     def _replay(self, log: EntryLog, entry: Entry, name: str, conflict: bool) -> bool:
-        """Adds one entry; returns whether the log contradicts the snapshot, which then replaces it all."""
+        """Adds one entry read from a segment; returns whether the log conflicts with the snapshot.
+
+        A conflicting log is dropped as a whole, as its entries at the snapshot's last index have another term.
+        """
         if entry.index <= log.last_index:
             log.truncate_from(max(entry.index, log.base_index + 1))
         if entry.index == log.base_index:
@@ -142,37 +145,33 @@
         log.append(entry)
         return conflict
 
-    # ---- log
-
     def append(self, entries: list[Entry]) -> None:
-        """Writes entries as one frame. An entry replaces earlier ones from its index on."""
+        """Writes `entries` as one frame. They replace entries written earlier from the first one's index on."""
         first = entries[0].index
         name = f"log-{first:020d}"
-        if not self._segments or (self._segment_size >= _SEGMENT_BYTES and name > self._segments[-1]):
+        if not self._segments or (self._segment_size >= _MIN_SEGMENT_BYTES and name > self._segments[-1]):
             self._segments.append(name)
             self._segment_size = 0
         data = pack_entries(entries)
         self._folder.append(self._segments[-1], data)
         self._folder.sync(self._segments[-1])
         if self._segment_size == 0:
-            self._folder.sync_names()
+            self._folder.sync_directory()
         self._segment_size += len(data)
 
-    def drop_before(self, index: int) -> None:
-        """Removes the segments that hold only entries before `index`."""
+    def remove_segments_before(self, index: int) -> None:
+        """Removes the segments that contain only entries before `index`."""
         while len(self._segments) > 1 and int(self._segments[1].removeprefix("log-")) <= index:
             self._folder.remove(self._segments.pop(0))
-        self._folder.sync_names()
+        self._folder.sync_directory()
 
-    def forget_log(self) -> None:
-        """Removes all segments, the newest first, so that a crash on the way leaves no gap."""
+    def remove_all_segments(self) -> None:
+        """Removes all segments, newest first, so that a crash in between leaves no gap in the log."""
         while self._segments:
             self._folder.remove(self._segments.pop())
-            self._folder.sync_names()
+            self._folder.sync_directory()
         self._segment_size = 0
 
-    # ---- snapshots
-
     def _snapshot_names(self) -> list[str]:
         return [name for name in self._folder.names() if name.startswith("snapshot-")]
 
@@ -188,38 +187,38 @@
         return self._folder.size(name)
 
     def read_snapshot(self, name: str, offset: int, size: int) -> bytes:
-        """Returns a part of a snapshot file."""
+        """Returns at most `size` bytes of a snapshot file from `offset` on."""
         return self._folder.read(name, offset, size)
 
-    def receive(self, data: bytes, first: bool) -> None:
-        """Adds a part of a snapshot from the leader; not durable before `accept`."""
+    def append_snapshot_chunk(self, data: bytes, first: bool) -> None:
+        """Appends a chunk of the leader's snapshot; durable only after `install_received_snapshot`."""
         if first:
-            self._folder.remove(_INCOMING)
-        self._folder.append(_INCOMING, data)
+            self._folder.remove(_INCOMING_SNAPSHOT_FILE)
+        self._folder.append(_INCOMING_SNAPSHOT_FILE, data)
 
-    def accept(self) -> Snapshot:
-        """Checks the received snapshot, keeps it in place of older ones and returns it.
+    def install_received_snapshot(self) -> Snapshot:
+        """Verifies the received snapshot, replaces older ones by it and returns it.
 
-        Raises `CorruptError` and drops it when its checksum is wrong.
+        Deletes it and raises `CorruptError` when its checksum is wrong.
         """
         try:
-            snapshot = Snapshot.decode(self._folder.read(_INCOMING), _INCOMING)
+            snapshot = Snapshot.decode(self._folder.read(_INCOMING_SNAPSHOT_FILE), _INCOMING_SNAPSHOT_FILE)
         except CorruptError:
-            self._folder.remove(_INCOMING)
+            self._folder.remove(_INCOMING_SNAPSHOT_FILE)
             raise
         name = f"snapshot-{snapshot.index:020d}"
-        self._folder.sync(_INCOMING)
-        self._folder.rename(_INCOMING, name)
-        self._folder.sync_names()
+        self._folder.sync(_INCOMING_SNAPSHOT_FILE)
+        self._folder.rename(_INCOMING_SNAPSHOT_FILE, name)
+        self._folder.sync_directory()
         self._remove_snapshots_before(name)
         return snapshot
 
     def latest_snapshot(self) -> str:
-        """Returns the name of the newest snapshot file, empty without any."""
+        """Returns the name of the latest snapshot file, empty when there is none."""
         return (self._snapshot_names() or [""])[-1]
 
     def _remove_snapshots_before(self, name: str) -> None:
         for old in self._snapshot_names():
             if old < name:
                 self._folder.remove(old)
-        self._folder.sync_names()
+        self._folder.sync_directory()
--- a/libs/arbutusrill_raft/_transport.py
+++ b/libs/arbutusrill_raft/_transport.py
@@ -1,4 +1,4 @@
-"""Calls between replicas, behind an interface that tests replace by a faulty link."""
+"""Calls between replicas; tests inject network faults through the interface `Transport`."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 
 class Transport(abc.ABC):
-    """Sends Raft messages to other replicas by RPC address."""
+    """Sends Raft messages to other replicas, addressed by RPC address."""
 
     @abc.abstractmethod
     def call(self, address: str, name: str, request: Any, timeout: float) -> Any:
-        """Calls method `name` of the Raft service and returns its reply within `timeout` seconds.
+        """Calls method `name` of the Raft service at `address` and returns its reply.
 
-        Raises `ConnectionError` without a reply and `messages.Refused` for a refusal.
+        Raises `ConnectionError` without a reply within `timeout` seconds, and `messages.Refused` when the replica
+        refuses the request.
         """
 
     @abc.abstractmethod
@@ -27,14 +28,14 @@
 
 
 class RpcTransport(Transport):
-    """Sends over TCP; a connection that fails or stays silent is replaced by a new one."""
+    """Sends over TCP; replaces all connections to an address after a failed call to it."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._client_by_address: dict[str, RpcClient] = {}
 
     def call(self, address: str, name: str, request: Any, timeout: float) -> Any:
-        """Calls method `name` of the Raft service at `address`."""
+        """Calls method `name` of the Raft service at `address`; raises as `Transport.call` does."""
         with self._lock:
             if address not in self._client_by_address:
                 self._client_by_address[address] = RpcClient(address)
@@ -42,7 +43,7 @@
         try:
             return client.call(messages.Raft, name, request, timeout=timeout)
         except ConnectionError:
-            # The other open connections may have gone silent too: one failed call is enough.
+            # The other open connections may be silent too, so that one failed call closes them all.
             with self._lock:
                 if self._client_by_address.get(address) is client:
                     del self._client_by_address[address]
--- a/libs/arbutusrill_raft/tests/group.py
+++ b/libs/arbutusrill_raft/tests/group.py
@@ -1,4 +1,4 @@
-"""A group of real replicas over a faulty link and faulty disks in memory."""
+"""Test harness: a group of real replicas with fault injection in the network and in-memory disks."""
 
 import errno
 import random
@@ -19,40 +19,41 @@
     Transport,
 )
 
-# Half of the program's times: shorter tests, with the same ratios between the times.
-QUICK = Timing(0.05, 0.25, 0.5, 0.2, 0.2, 0.12)
-SMALL = Bounds(compact_entries=40, keep_bytes=600, append_bytes=2000, chunk_bytes=700)
-PATIENCE_S = 60.0  # tests share the machine with others; nothing is measured here
+# Half of the default times, for shorter tests, with nearly the same ratios between them.
+QUICK_TIMING = Timing(0.05, 0.25, 0.5, 0.2, 0.2, 0.12)
+SMALL_BOUNDS = Bounds(compact_entries=40, keep_bytes=600, append_bytes=2000, chunk_bytes=700)
+WAIT_TIMEOUT_S = 60.0  # long, because tests share the machine with others
 
 
-class File:
+class MemoryFile:
     def __init__(self):
         self.data = bytearray()
         self.synced = 0
 
 
 class MemoryDisk(Folder):
-    """Loses unsynced data and names at `crash`, and fails on demand."""
+    """An in-memory disk that loses unsynced data and names in a crash and raises the errors that a test sets."""
 
     def __init__(self):
         self.files = {}
         self.durable = {}
-        self.error = None  # raised by writes
-        self.sync_error = None
-        self.sync_s = 0.0  # longest time of a sync
-        self.syncs = threading.Event()  # a sync waits while it is clear
-        self.syncs.set()
-        self.dead = False
+        self.write_error = None  # raised by appends
+        self.sync_error = None  # raised by syncs
+        self.max_sync_s = 0.0  # each sync takes a random time up to this
+        self.sync_allowed = threading.Event()  # syncs wait while it is clear
+        self.sync_allowed.set()
+        self.crashed = False
         self.lock = threading.RLock()
 
     def crash(self, rng):
+        """Makes this disk unusable; returns one with the synced data, part of the unsynced data and torn writes."""
         with self.lock:
             names = rng.choice([self.durable, self.files])
-            self.dead = True
+            self.crashed = True
             disk = MemoryDisk()
-            disk.sync_s = self.sync_s
+            disk.max_sync_s = self.max_sync_s
             for name, file in names.items():
-                new = disk.files[name] = disk.durable[name] = File()
+                new = disk.files[name] = disk.durable[name] = MemoryFile()
                 keep = file.synced + rng.randint(0, len(file.data) - file.synced)
                 new.data = file.data[:keep]
                 if keep > file.synced and rng.random() < 0.3:
@@ -61,15 +62,15 @@
                 new.synced = len(new.data)
             return disk
 
-    def _use(self, error=None):
-        if self.dead:
+    def _check_usable(self, error=None):
+        if self.crashed:
             raise OSError(errno.EIO, "process killed")
         if error:
             raise error
 
     def names(self):
         with self.lock:
-            self._use()
+            self._check_usable()
             return sorted(self.files)
 
     def size(self, name):
@@ -77,7 +78,7 @@
 
     def read(self, name, offset=0, size=-1):
         with self.lock:
-            self._use()
+            self._check_usable()
             if name not in self.files:
                 raise FileNotFoundError(name)
             data = bytes(self.files[name].data)
@@ -85,36 +86,36 @@
 
     def append(self, name, data):
         with self.lock:
-            self._use(self.error)
-            self.files.setdefault(name, File()).data.extend(data)
+            self._check_usable(self.write_error)
+            self.files.setdefault(name, MemoryFile()).data.extend(data)
 
     def sync(self, name):
-        self.syncs.wait(PATIENCE_S)
-        if self.sync_s:
-            time.sleep(random.uniform(0, self.sync_s))
+        self.sync_allowed.wait(WAIT_TIMEOUT_S)
+        if self.max_sync_s:
+            time.sleep(random.uniform(0, self.max_sync_s))
         with self.lock:
-            self._use(self.sync_error)
+            self._check_usable(self.sync_error)
             self.files[name].synced = len(self.files[name].data)
 
     def truncate(self, name, size):
         with self.lock:
-            self._use()
+            self._check_usable()
             del self.files[name].data[size:]
             self.sync(name)
 
     def rename(self, old, new):
         with self.lock:
-            self._use()
+            self._check_usable()
             self.files[new] = self.files.pop(old)
 
     def remove(self, name):
         with self.lock:
-            self._use()
+            self._check_usable()
             self.files.pop(name, None)
 
-    def sync_names(self):
+    def sync_directory(self):
         with self.lock:
-            self._use()
+            self._check_usable()
             self.durable = dict(self.files)
 
     def close(self):
@@ -122,7 +123,7 @@
 
 
 class ListMachine(StateMachine):
-    """Keeps the entries in order and answers with how many there are."""
+    """Stores the entries in order; the result of an entry is the number of entries so far."""
 
     def __init__(self):
         self.items = []
@@ -143,8 +144,8 @@
         self.items = items
 
 
-class Link(Transport):
-    """Delivers calls of one node in the caller's thread, with the faults that the group has set."""
+class FaultyTransport(Transport):
+    """Delivers the calls of one replica in the caller's thread, with the network faults set in the group."""
 
     def __init__(self, group, source):
         self.group = group
@@ -153,14 +154,14 @@
     def call(self, address, name, request, timeout):
         group = self.group
         receiver = group.receiver(self.source, address)
-        if random.random() < group.loss:
+        if random.random() < group.loss_probability:
             raise ConnectionError("request lost")
-        time.sleep(random.uniform(0, group.delay_s))
-        for _ in range(2 if random.random() < group.duplicates else 1):
+        time.sleep(random.uniform(0, group.max_delay_s))
+        for _ in range(2 if random.random() < group.duplicate_probability else 1):
             reply = getattr(receiver, name)(request if name == "hello" else copy(request))
-        if group.receiver(self.source, address) is not receiver or (address, self.source) in group.cuts:
+        if group.receiver(self.source, address) is not receiver or (address, self.source) in group.blocked_links:
             raise ConnectionError("reply cut off")
-        if random.random() < group.loss:
+        if random.random() < group.loss_probability:
             raise ConnectionError("reply lost")
         return copy(reply)
 
@@ -173,16 +174,16 @@
 
 
 class Group:
-    """Replicas by address; used as a context manager."""
+    """A group of replicas by address, started and stopped as a context manager."""
 
-    def __init__(self, count=3, timing=QUICK, bounds=None, seed=1):
+    def __init__(self, count=3, timing=QUICK_TIMING, bounds=None, seed=1):
         self.rng = random.Random(seed)
         self.timing, self.bounds = timing, bounds or Bounds()
         self.initial = [f"10.0.0.{number + 1}:7400" for number in range(count)]
         self.disks, self.machines, self.replicas = {}, {}, {}
-        self.cuts = set()  # pairs (from, to) over which nothing passes
-        self.sync_s = 0.0
-        self.loss = self.duplicates = self.delay_s = 0.0
+        self.blocked_links = set()  # pairs (source, destination) of addresses
+        self.max_sync_s = 0.0
+        self.loss_probability = self.duplicate_probability = self.max_delay_s = 0.0
 
     def __enter__(self):
         for address in self.initial:
@@ -195,9 +196,9 @@
 
     def start(self, address, clock: Clock | None = None, alone_since=None):
         disk = self.disks.setdefault(address, MemoryDisk())
-        disk.sync_s = self.sync_s
+        disk.max_sync_s = self.max_sync_s
         machine = self.machines[address] = ListMachine()
-        link = Link(self, address)
+        link = FaultyTransport(self, address)
         replica = Replica(address, self.initial, disk, machine, link, clock, self.timing, self.bounds, alone_since)
         self.replicas[address] = replica
         return replica.__enter__()
@@ -206,7 +207,7 @@
         self.replicas.pop(address).__exit__()
 
     def kill(self, address):
-        """Ends a replica as a power failure does: unsynced data is lost in part or whole."""
+        """Simulates a power failure of a replica, which loses some or all unsynced data."""
         replica = self.replicas.pop(address)
         self.disks[address] = self.disks[address].crash(self.rng)
         replica.__exit__()
@@ -216,22 +217,20 @@
         self.disks[address] = MemoryDisk()
 
     def receiver(self, source, address):
-        if (source, address) in self.cuts or address not in self.replicas or source not in self.replicas:
+        if (source, address) in self.blocked_links or address not in self.replicas or source not in self.replicas:
             raise ConnectionError("cut off")
         return self.replicas[address].handler
 
     def cut(self, address, inward=True, outward=True):
         for other in set(self.disks) - {address}:
-            self.cuts |= {(other, address)} if inward else set()
-            self.cuts |= {(address, other)} if outward else set()
+            self.blocked_links |= {(other, address)} if inward else set()
+            self.blocked_links |= {(address, other)} if outward else set()
 
     def heal(self):
-        self.cuts = set()
-
-    # ---- use
+        self.blocked_links = set()
 
     def leader(self, among=None):
-        """Waits for a replica that proves that it leads and returns its address."""
+        """Waits until a replica proves its leadership and returns its address."""
         found = []
 
         def proven():
@@ -252,8 +251,8 @@
         leader = self.leader()
         return [address for address in sorted(self.replicas) if address != leader]
 
-    def propose(self, data, timeout=PATIENCE_S):
-        """Proposes at whichever replica leads, again only when the entry certainly was not appended."""
+    def propose(self, data, timeout=WAIT_TIMEOUT_S):
+        """Proposes on the leader; retries only when the entry cannot have been appended."""
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
             for replica in list(self.replicas.values()):
@@ -267,9 +266,9 @@
             time.sleep(0.01)
         raise LogUnavailableError("no leader in time", appended=False)
 
-    def on_leader(self, name, *arguments):
+    def call_on_leader(self, name, *arguments):
         """Calls a membership operation on the leader until it succeeds."""
-        deadline = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while True:
             try:
                 return getattr(self.replicas[self.leader()], name)(*arguments, 10.0)
@@ -278,7 +277,7 @@
                     raise
 
     def wait_equal(self, items=None):
-        """Waits until every live replica has applied the same entries."""
+        """Waits until all running replicas have applied the same entries, equal to `items` if given."""
         wait_until(lambda: self._equal(items), f"equal states, have {self._states()}")
 
     def _equal(self, items):
@@ -293,13 +292,13 @@
 
 
 def wait_until(condition, what):
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
         assert time.monotonic() < deadline, f"not in time: {what}"
         time.sleep(0.005)
 
 
-def refused(call, *arguments):
+def refusal_code(call, *arguments):
     try:
         call(*arguments)
     except messages.Refused as error:
--- a/libs/arbutusrill_raft/tests/test_clock.py
+++ b/libs/arbutusrill_raft/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Guards against leases that a suspended VM believes to hold for the time for which it did not run."""
+"""Guards against leases that do not expire while a VM is suspended, because its clock does not advance."""
 
 import time
 
@@ -10,17 +10,19 @@
 from .group import ListMachine, MemoryDisk
 
 
-def test_replica_counts_the_time_of_a_suspension(monkeypatch):
+def test_clock_of_a_replica_advances_during_suspension(monkeypatch):
     replica = Replica("10.0.0.1:1", [], MemoryDisk(), ListMachine())
     clock = replica._core.clock
     suspended_s = 5.0
     before = clock.monotonic()
-    running = time.clock_gettime
+    real_clock_gettime = time.clock_gettime
     monkeypatch.setattr(
-        time, "clock_gettime", lambda kind: running(kind) + (suspended_s if kind == time.CLOCK_BOOTTIME else 0.0)
+        time,
+        "clock_gettime",
+        lambda kind: real_clock_gettime(kind) + (suspended_s if kind == time.CLOCK_BOOTTIME else 0.0),
     )
     assert clock.monotonic() - before >= suspended_s
 
 
-def test_boot_clock_is_that_of_the_operating_system():
+def test_boot_clock_equals_clock_boottime():
     assert BootClock().monotonic() == pytest.approx(time.clock_gettime(time.CLOCK_BOOTTIME), abs=1.0)
--- a/libs/arbutusrill_raft/tests/test_random.py
+++ b/libs/arbutusrill_raft/tests/test_random.py
@@ -1,6 +1,6 @@
-"""Guards against combinations of faults that lose, revert, repeat or reorder accepted entries.
+"""Guards against loss, reversal, repetition and reordering of accepted entries under random faults.
 
-Each seed fixes the schedule of faults; the interleaving of the threads differs from run to run.
+The seed fixes the sequence of faults; the interleaving of threads differs from run to run.
 """
 
 import os
@@ -12,18 +12,18 @@
 
 from arbutusrill_raft import LogUnavailableError, MembershipError, NotLeaderError
 
-from .group import SMALL, Group, wait_until
+from .group import SMALL_BOUNDS, Group, wait_until
 
 SEEDS = [int(seed) for seed in os.environ.get("ARBUTUSRILL_SEEDS", "1 2 3").split()]
-FAULTS_S = float(os.environ.get("ARBUTUSRILL_FAULTS_S", "6"))
+FAULT_DURATION_S = float(os.environ.get("ARBUTUSRILL_FAULTS_S", "6"))
 
 
 class Clients:
-    """Propose distinct entries and read while faults happen, and record what the group promised."""
+    """Threads that propose distinct entries and read during the faults, and record accepted entries and stale reads."""
 
     def __init__(self, group, count):
         self.group = group
-        self.accepted = []  # (started, ended, entry)
+        self.accepted = []  # (start, end, entry) of each proposal, in seconds on the monotonic clock
         self.problems = []
         self.reads = 0
         self.stopping = threading.Event()
@@ -76,17 +76,19 @@
             self.problems.append(f"read by {replica.status().replica} lacks {sorted(missing)[:3]}")
 
 
-class Faults:
-    """Draws one fault after another and undoes it; one replica at most is down or cut off at a time."""
+class FaultInjector:
+    """Injects and repairs random faults; except in `_kill_all`, at most one replica is down or cut off at a time."""
 
     def __init__(self, group, seed):
         self.group = group
         self.rng = random.Random(seed)
-        self.seen = []
+        self.injected = []
 
     def step(self):
-        kind = self.rng.choice(["cut", "deaf", "mute", "kill", "kill_leader", "kill_all", "lose_disk", "lossy"])
-        self.seen.append(kind)
+        kind = self.rng.choice(
+            ["cut", "block_inbound", "block_outbound", "kill", "kill_leader", "kill_all", "lose_disk", "lossy"]
+        )
+        self.injected.append(kind)
         address = self.rng.choice(self.group.initial)
         if kind == "kill_leader":
             address = next((a for a, replica in self.group.replicas.items() if replica.is_leader()), address)
@@ -95,15 +97,15 @@
     def _pause(self):
         time.sleep(self.rng.uniform(0.05, 0.9))
 
-    def _cut(self, address, **ways):
-        self.group.cut(address, **ways)
+    def _cut(self, address, **directions):
+        self.group.cut(address, **directions)
         self._pause()
         self.group.heal()
 
-    def _deaf(self, address):
+    def _block_inbound(self, address):
         self._cut(address, outward=False)
 
-    def _mute(self, address):
+    def _block_outbound(self, address):
         self._cut(address, inward=False)
 
     def _kill(self, address):
@@ -111,19 +113,19 @@
         self._pause()
         self.group.start(address)
 
-    def _kill_all(self, late):
-        """Power failure of all; one replica, often the leader, returns later than the others."""
-        late = next((a for a, replica in self.group.replicas.items() if replica.is_leader()), late)
+    def _kill_all(self, last):
+        """Power failure of all replicas; one, the leader if there is one, restarts last, with or without a delay."""
+        last = next((a for a, replica in self.group.replicas.items() if replica.is_leader()), last)
         for address in self.group.initial:
             self.group.kill(address)
         for address in self.group.initial:
-            if address != late:
+            if address != last:
                 self.group.start(address)
         time.sleep(self.rng.choice([0.0, 2 * self.group.timing.election_max_s]))
-        self.group.start(late)
+        self.group.start(last)
 
     def _lose_disk(self, address):
-        """Loses a disk, repairs, and loses another replica's disk right after the repair."""
+        """Loses and replaces the disk of a replica, then at once that of another one."""
         self._repair(address)
         other = self.rng.choice([other for other in self.group.initial if other != address])
         self._repair(other)
@@ -132,9 +134,9 @@
         self.group.lose_disk(address)
         self._pause()
         self.group.start(address)
-        wait_until(lambda: self._replaced(address), f"{address} is replaced")
+        wait_until(lambda: self._try_replace(address), f"{address} is replaced")
 
-    def _replaced(self, address):
+    def _try_replace(self, address):
         try:
             new = self.group.replicas[address].status().replica
             leader = self.group.leader()
@@ -145,12 +147,13 @@
         return new in voters and len(voters) == 3
 
     def _lossy(self, _):
-        self.group.loss, self.group.duplicates, self.group.delay_s = 0.2, 0.2, 0.03
+        self.group.loss_probability, self.group.duplicate_probability, self.group.max_delay_s = 0.2, 0.2, 0.03
         self._pause()
-        self.group.loss = self.group.duplicates = self.group.delay_s = 0.0
+        self.group.loss_probability = self.group.duplicate_probability = self.group.max_delay_s = 0.0
 
 
-def check(group, clients):
+def check_invariants(group, clients):
+    """Checks that every accepted entry was applied once, in an order that respects real time."""
     group.heal()
     for address in set(group.initial) - set(group.replicas):
         group.start(address)
@@ -163,27 +166,27 @@
     missing = [data for _, _, data in clients.accepted if data not in position]
     assert not missing, f"accepted entries are lost: {missing[:5]}"
     ended = sorted((ended, position[data]) for _, ended, data in clients.accepted)
-    latest, done = -1, 0
+    latest, passed = -1, 0
     for started, _, data in sorted(clients.accepted):
-        while done < len(ended) and ended[done][0] < started:
-            latest = max(latest, ended[done][1])
-            done += 1
-        assert position[data] > latest, f"{data} stands before an entry that was accepted before it was proposed"
+        while passed < len(ended) and ended[passed][0] < started:
+            latest = max(latest, ended[passed][1])
+            passed += 1
+        assert position[data] > latest, f"{data} precedes an entry that was accepted before {data} was proposed"
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_accepted_entries_survive_random_faults(seed):
-    group = Group(bounds=SMALL, seed=seed)
-    group.sync_s = 0.004  # longer than a message, so that an early acknowledgement shows
+    group = Group(bounds=SMALL_BOUNDS, seed=seed)
+    group.max_sync_s = 0.004  # longer than a message delay, so that an acknowledgement before the sync is noticed
     with group:
         group.leader()
-        faults = Faults(group, seed)
+        injector = FaultInjector(group, seed)
         with Clients(group, 3) as clients:
-            deadline = time.monotonic() + FAULTS_S
+            deadline = time.monotonic() + FAULT_DURATION_S
             while time.monotonic() < deadline:
-                faults.step()
-                time.sleep(faults.rng.uniform(0, 0.3))
-        check(group, clients)
+                injector.step()
+                time.sleep(injector.rng.uniform(0, 0.3))
+        check_invariants(group, clients)
         assert not [replica.status().fault for replica in group.replicas.values() if replica.status().fault]
-        assert len(clients.accepted) > 10, faults.seen
-        print(f"seed {seed}: {len(clients.accepted)} accepted, {clients.reads} reads, faults {faults.seen}")
+        assert len(clients.accepted) > 10, injector.injected
+        print(f"seed {seed}: {len(clients.accepted)} accepted, {clients.reads} reads, faults {injector.injected}")
--- a/libs/arbutusrill_raft/tests/test_replica.py
+++ b/libs/arbutusrill_raft/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Guards against a group that loses, reorders or reverts accepted entries, or stops without need."""
+"""Guards against loss, reordering and reversal of accepted entries, and against needless unavailability."""
 
 import dataclasses
 import errno
@@ -10,9 +10,9 @@
 from arbutusrill_wire import messages
 
 from arbutusrill_raft import Bounds, LogUnavailableError, MembershipError, NotLeaderError
-from arbutusrill_raft._peer import Peer, _Job
+from arbutusrill_raft._peer import Peer, _Call
 
-from .group import PATIENCE_S, QUICK, SMALL, Group, refused, wait_until
+from .group import QUICK_TIMING, SMALL_BOUNDS, WAIT_TIMEOUT_S, Group, refusal_code, wait_until
 
 
 def entries(count, first=0):
@@ -36,8 +36,8 @@
         assert group.propose(b"a") == b"1"
 
 
-def test_group_does_not_form_before_all_initial_voters_are_there():
-    # A majority could otherwise form a group twice, the second time without the first one's entries.
+def test_group_does_not_form_before_all_initial_voters_answer():
+    # If a majority sufficed, a second group could form without the entries of the first one.
     group = Group()
     group.start(group.initial[0])
     group.start(group.initial[1])
@@ -72,29 +72,29 @@
         group.wait_equal(entries(10))
 
 
-def test_cut_off_leader_steps_down_and_its_entries_give_way():
+def test_partitioned_leader_steps_down_and_its_uncommitted_entries_are_replaced():
     with Group() as group:
         group.propose(b"a")
         old = group.leader()
         group.cut(old)
         with pytest.raises(LogUnavailableError) as caught:
-            group.replicas[old].propose(b"lost", PATIENCE_S)
+            group.replicas[old].propose(b"lost", WAIT_TIMEOUT_S)
         assert caught.value.appended
         with pytest.raises((NotLeaderError, LogUnavailableError)):
             group.replicas[old].confirm(0.1)
         rest = [address for address in group.initial if address != old]
-        group.replicas[group.leader(rest)].propose(b"b", PATIENCE_S)
+        group.replicas[group.leader(rest)].propose(b"b", WAIT_TIMEOUT_S)
         group.heal()
         group.wait_equal([b"a", b"b"])
 
 
-def test_cut_off_follower_does_not_disturb_the_leader_on_return():
-    # Without pre-vote, the follower's higher term would end a sound leadership.
+def test_partitioned_follower_does_not_depose_the_leader_on_return():
+    # Without pre-vote, the follower would return with a higher term and depose a working leader.
     with Group() as group:
         leader = group.leader()
         term = group.replicas[leader].status().term
         follower = group.followers()[0]
-        # A leader needs one follower only: the other may not have heard of its term yet.
+        # The leader needs the vote of only one follower, so the other may still be in an older term.
         wait_until(lambda: group.replicas[follower].status().term == term, "the follower in the leader's term")
         group.cut(follower)
         time.sleep(3 * group.timing.election_max_s)
@@ -104,7 +104,7 @@
         group.wait_equal([b"a"])
 
 
-def test_follower_that_hears_nothing_but_can_send_does_not_win():
+def test_follower_with_only_outbound_messages_does_not_become_leader():
     with Group() as group:
         follower = group.followers()[0]
         group.cut(follower, inward=True, outward=False)
@@ -114,7 +114,7 @@
 
 
 def test_old_leader_cannot_prove_leadership_after_its_lease():
-    # A paused VM would otherwise answer reads with state that others have changed meanwhile.
+    # Otherwise a VM that was suspended would answer reads with stale state.
     with Group() as group:
         old = group.leader()
         group.cut(old)
@@ -124,7 +124,7 @@
 
 
 def test_recently_started_replica_gives_no_vote():
-    # Before its restart it may have promised a leader not to vote during that leader's lease.
+    # Before its restart, it may have acknowledged a message that extends a leader's lease.
     with Group() as group:
         follower = group.followers()[0]
         group.kill(follower)
@@ -140,14 +140,14 @@
         group.kill(follower)
         for other in list(group.replicas):
             group.kill(other)
-        replica = group.start(follower, alone_since=BootClock().monotonic() - QUICK.election_min_s)
+        replica = group.start(follower, alone_since=BootClock().monotonic() - QUICK_TIMING.election_min_s)
         status = replica.status()
         request = messages.VoteRequest(status.term + 1, "10.0.0.9:1/x", 999, 999, True, target=status.replica)
         assert replica.handler.vote(request).granted
 
 
-def test_restarted_replica_votes_as_soon_as_no_lease_can_rest_on_it():
-    # After the loss of all VMs, it kept its vote back for a whole election timeout, and service waited for it.
+def test_restarted_replica_votes_as_soon_as_no_lease_can_depend_on_it():
+    # After a restart of all VMs, a replica that refuses votes for a whole election timeout delays recovery.
     with Group() as group:
         follower = group.followers()[0]
         for other in list(group.replicas):
@@ -155,7 +155,7 @@
         started_at = BootClock().monotonic()
         replica = group.start(follower, alone_since=started_at)
         core, status = replica._core, replica.status()
-        assert started_at + QUICK.lease_s < core.no_vote_until < started_at + QUICK.election_min_s
+        assert started_at + QUICK_TIMING.lease_s < core.no_vote_until < started_at + QUICK_TIMING.election_min_s
         request = messages.VoteRequest(status.term + 1, "10.0.0.9:1/x", 999, 999, True, target=status.replica)
         time.sleep(max(0.0, core.no_vote_until - BootClock().monotonic()))
         assert replica.handler.vote(request).granted
@@ -165,21 +165,21 @@
     with Group() as group:
         address = group.followers()[0]
         group.kill(address)
-        replica = group.start(address, alone_since=BootClock().monotonic() - QUICK.election_min_s)
-        assert replica._core.election_at <= BootClock().monotonic() + QUICK.election_min_s
+        replica = group.start(address, alone_since=BootClock().monotonic() - QUICK_TIMING.election_min_s)
+        assert replica._core.election_due_at <= BootClock().monotonic() + QUICK_TIMING.election_min_s
 
 
-def test_first_request_for_votes_is_soon_repeated():
-    # After the loss of all VMs, peers that start a moment later cannot vote yet when they are asked first.
+def test_first_pre_vote_is_repeated_early():
+    # After a restart of all VMs, peers that start slightly later cannot vote yet at the first request.
     with Group() as group:
         address = group.followers()[0]
         for other in list(group.replicas):
             group.kill(other)
-        replica = group.start(address, alone_since=BootClock().monotonic() - QUICK.election_min_s)
+        replica = group.start(address, alone_since=BootClock().monotonic() - QUICK_TIMING.election_min_s)
         core = replica._core
-        wait_until(lambda: core.round > 0, "the first request for votes")
+        wait_until(lambda: core.vote_round > 0, "the first pre-vote")
         with core.lock:
-            assert core.election_at <= BootClock().monotonic() + 2 * QUICK.heartbeat_s
+            assert core.election_due_at <= BootClock().monotonic() + 2 * QUICK_TIMING.heartbeat_s
 
 
 def test_vote_is_kept_through_a_power_failure():
@@ -203,7 +203,7 @@
         assert replica.handler.vote(request).granted
 
 
-def test_vote_goes_only_to_a_log_that_is_as_long():
+def test_vote_is_refused_to_a_candidate_with_an_older_log():
     with Group() as group:
         propose_all(group, entries(3))
         group.wait_equal()
@@ -218,16 +218,16 @@
             assert not replica.handler.vote(request).granted
 
 
-def test_entry_of_an_older_term_is_not_committed_by_counting_copies():
-    # Another leader may still replace such an entry; only one of the current term settles it.
+def test_entry_of_an_older_term_is_not_committed_by_counting_replicas():
+    # Another leader may still replace such an entry until an entry of the current term is committed (Raft, 5.4.2).
     with Group() as group:
         group.propose(b"a")
         leader = group.leader()
         core = group.replicas[leader]._core
         with core.lock:
             last = core.log.last_index
-            core.append_own(0, b"older")
-            core.storage.save_meta(core.term + 1, core.me)
+            core.append_as_leader(0, b"older")
+            core.storage.save_term_and_vote(core.term + 1, core.own_id)
             for progress in core.progress_by_peer.values():
                 progress.match_index = last + 1
             core.durable_index = last + 1
@@ -236,15 +236,17 @@
 
 
 def test_membership_change_waits_for_the_previous_one():
-    # Two changes under way could leave two majorities without a common voter.
+    # With two uncommitted changes, two majorities without a common voter could exist.
     with Group() as group:
         group.propose(b"a")
         leader = group.leader()
         replica = group.replicas[leader]
-        replica._core.timing = dataclasses.replace(QUICK, election_max_s=PATIENCE_S)  # no step-down meanwhile
+        replica._core.timing = dataclasses.replace(
+            QUICK_TIMING, election_max_s=WAIT_TIMEOUT_S
+        )  # no step-down meanwhile
         for number in (8, 9):
             group.start(f"10.0.0.{number}:7400")
-        group.cuts = {(leader, other) for other in group.initial}
+        group.blocked_links = {(leader, other) for other in group.initial}
         with pytest.raises(LogUnavailableError) as caught:
             replica.add_learner("10.0.0.8:7400", 0.05)
         assert caught.value.appended
@@ -253,23 +255,23 @@
         assert not caught.value.appended
 
 
-def test_nothing_is_accepted_before_a_majority_has_synced_it():
+def test_entry_is_accepted_only_after_a_majority_has_synced_it():
     with Group() as group:
         group.propose(b"a")
         group.wait_equal()
         for address in group.followers():
-            group.disks[address].syncs.clear()
+            group.disks[address].sync_allowed.clear()
         with pytest.raises(LogUnavailableError) as caught:
             group.replicas[group.leader()].propose(b"b", 2 * group.timing.election_max_s)
         assert caught.value.appended
         for disk in group.disks.values():
-            disk.syncs.set()
+            disk.sync_allowed.set()
         group.propose(b"c")
         group.wait_equal([b"a", b"b", b"c"])
 
 
-def test_leader_without_a_quorum_steps_down_by_itself():
-    # It would otherwise keep its clients waiting for answers that cannot come.
+def test_leader_without_a_quorum_steps_down():
+    # Otherwise its clients would wait for replies until their timeouts.
     with Group() as group:
         leader = group.leader()
         for follower in group.followers():
@@ -277,8 +279,8 @@
         wait_until(lambda: group.replicas[leader].status().role == "follower", "the leader steps down")
 
 
-def test_far_behind_follower_gets_a_snapshot_in_parts():
-    with Group(bounds=SMALL) as group:
+def test_follower_behind_the_compacted_log_gets_a_snapshot_in_chunks():
+    with Group(bounds=SMALL_BOUNDS) as group:
         follower = group.followers()[0]
         group.kill(follower)
         items = entries(300)
@@ -288,9 +290,9 @@
         assert any(name.startswith("snapshot-") for name in group.disks[follower].names())
 
 
-def test_append_below_a_compacted_log_is_answered_with_what_is_committed():
-    # A leader that is told to go further back would send a snapshot that the follower does not need, for ever.
-    with Group(bounds=SMALL) as group:
+def test_append_below_the_compacted_log_is_answered_with_the_commit_index():
+    # Told to go further back, the leader would send a snapshot that the follower does not need, again and again.
+    with Group(bounds=SMALL_BOUNDS) as group:
         propose_all(group, entries(100))
         group.wait_equal()
         follower = group.replicas[group.followers()[0]]
@@ -304,20 +306,20 @@
         assert not follower.status().fault
 
 
-def test_peer_that_stays_silent_is_called_again_at_once():
-    # After a call that took its whole time, a further pause would let the follower's election begin.
+def test_call_that_times_out_is_repeated_at_once():
+    # With a delay on top of the call's timeout, the follower's election timeout would expire.
     with Group(1) as group:
         core = group.replicas[group.leader()]._core
         peer = Peer(core, None, None, "10.0.0.9:1/x")
         now = core.clock.monotonic()
-        peer._failed(_Job("append", None, now - core.timing.call_s, None))
-        assert peer._not_before < now
-        peer._failed(_Job("append", None, now, None))
-        assert peer._not_before > now
+        peer._handle_failure(_Call("append", None, now - core.timing.call_s, None))
+        assert peer._retry_not_before < now
+        peer._handle_failure(_Call("append", None, now, None))
+        assert peer._retry_not_before > now
 
 
-def test_log_in_memory_and_on_disk_stays_bounded_with_a_dead_follower():
-    with Group(bounds=SMALL) as group:
+def test_log_in_memory_and_on_disk_stays_bounded_while_a_follower_is_down():
+    with Group(bounds=SMALL_BOUNDS) as group:
         group.kill(group.followers()[0])
         propose_all(group, entries(300))
         leader = group.leader()
@@ -332,34 +334,34 @@
         for follower in group.followers():
             group.kill(follower)
         replica = group.replicas[leader]
-        codes = []
+        appended = []
 
         def propose():
             try:
                 replica.propose(bytes(1000), 0.2)
             except LogUnavailableError as error:
-                codes.append(error.appended)
+                appended.append(error.appended)
             except NotLeaderError:
-                codes.append(False)
+                appended.append(False)
 
         threads = [threading.Thread(target=propose) for _ in range(10)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        assert codes.count(True) <= 5
+        assert appended.count(True) <= 5
 
 
-@pytest.mark.parametrize("kind", ["error", "sync_error"])
-def test_replica_with_a_failing_disk_stops_and_says_so(kind):
-    # Carrying on after a failed sync would acknowledge entries that the disk does not hold.
+@pytest.mark.parametrize("kind", ["write_error", "sync_error"])
+def test_replica_with_a_failing_disk_stops_and_reports_the_fault(kind):
+    # After a failed sync, the replica could acknowledge entries that are not on the disk.
     with Group() as group:
         propose_all(group, entries(3))
         leader = group.leader()
         setattr(group.disks[leader], kind, OSError(errno.ENOSPC, "no space left on device"))
         try:
             # The followers alone are a majority and may store the entry before the leader's disk reports its error.
-            group.replicas[leader].propose(b"x", PATIENCE_S)
+            group.replicas[leader].propose(b"x", WAIT_TIMEOUT_S)
             accepted = [*entries(3), b"x"]
         except (LogUnavailableError, NotLeaderError):
             accepted = entries(3)
@@ -368,8 +370,8 @@
         assert "no space left" in status.fault
         assert status.role == "faulty"
         rest = [address for address in group.initial if address != leader]
-        group.replicas[group.leader(rest)].propose(b"y", PATIENCE_S)
-        assert refused(group.replicas[leader].handler.vote, messages.VoteRequest(99, "a/b", target=status.replica))
+        group.replicas[group.leader(rest)].propose(b"y", WAIT_TIMEOUT_S)
+        assert refusal_code(group.replicas[leader].handler.vote, messages.VoteRequest(99, "a/b", target=status.replica))
         setattr(group.disks[leader], kind, None)
         group.kill(leader)
         group.start(leader)
@@ -377,7 +379,7 @@
         assert group.machines[leader].items[: len(accepted)] == accepted
 
 
-def test_lost_disk_rejoins_only_as_a_new_member():
+def test_replica_that_lost_its_disk_rejoins_only_as_a_new_member():
     with Group() as group:
         propose_all(group, entries(5))
         lost = group.followers()[0]
@@ -386,22 +388,22 @@
         replica = group.start(lost)
         assert replica.status().replica != old
         vote = messages.VoteRequest(99, "10.0.0.9:1/x", 999, 999, target=old)
-        assert refused(replica.handler.vote, vote) == "wrong_member"
+        assert refusal_code(replica.handler.vote, vote) == "wrong_member"
         time.sleep(2 * group.timing.election_max_s)
         assert replica.status().voters == []
-        assert group.on_leader("replace", lost, lost) == replica.status().replica
+        assert group.call_on_leader("replace", lost, lost) == replica.status().replica
         group.wait_equal(entries(5))
         assert old not in replica.status().voters
         assert len(group.replicas[group.leader()].status().voters) == 3
 
 
-def test_second_loss_right_after_a_repair_loses_nothing():
+def test_second_disk_loss_right_after_a_repair_loses_no_entries():
     with Group() as group:
         propose_all(group, entries(5))
         first, second = group.followers()
         group.lose_disk(first)
         group.start(first)
-        group.on_leader("replace", first, first)
+        group.call_on_leader("replace", first, first)
         group.lose_disk(second)
         propose_all(group, entries(5, 5))
         group.kill(group.leader())
@@ -420,7 +422,7 @@
         old = group.leader()
         new = "10.0.0.9:7400"
         group.start(new)
-        group.on_leader("replace", old, new)
+        group.call_on_leader("replace", old, new)
         wait_until(lambda: not group.replicas[old].is_leader(), "the removed leader steps down")
         group.stop(old)
         group.propose(b"b")
@@ -442,20 +444,20 @@
         group.propose(b"a")
         new = "10.0.0.9:7400"
         group.start(new)
-        learner = group.on_leader("add_learner", new)
+        learner = group.call_on_leader("add_learner", new)
         group.lose_disk(new)
         follower = group.followers()[0]
-        group.on_leader("replace", learner, follower)
+        group.call_on_leader("replace", learner, follower)
         status = group.replicas[group.leader()].status()
         assert (len(status.voters), status.learners) == (3, [])
 
 
-def test_learner_has_no_vote_before_it_has_caught_up():
+def test_learner_is_not_promoted_before_it_has_caught_up():
     with Group() as group:
         group.propose(b"a")
         new = "10.0.0.9:7400"
         group.start(new)
-        group.on_leader("add_learner", new)
+        group.call_on_leader("add_learner", new)
         group.kill(new)
         leader = group.replicas[group.leader()]
         with pytest.raises(LogUnavailableError):
@@ -480,7 +482,7 @@
         group.replicas[group.leader()].remove(group.initial[0], 5)
 
 
-def test_entry_that_the_machine_rejects_by_an_exception_stops_nothing():
+def test_exception_of_the_state_machine_does_not_stop_the_replicas():
     with Group() as group:
         for machine in group.machines.values():
             apply = machine.apply
--- a/libs/arbutusrill_raft/tests/test_transport.py
+++ b/libs/arbutusrill_raft/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""Guards against a middlebox that silences open connections for ever while new ones work."""
+"""Guards against a middlebox that drops the traffic of open connections while new ones work."""
 
 import socket
 import threading
@@ -10,7 +10,7 @@
 
 
 class Middlebox:
-    """Forwards TCP connections to one address until it loses its state."""
+    """TCP proxy to one address; after `drop_connections` it silently drops the data of all open connections."""
 
     def __init__(self, target):
         self._target = target
@@ -19,7 +19,7 @@
         self._generation = 0
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def forget(self):
+    def drop_connections(self):
         self._generation += 1
 
     def close(self):
@@ -41,20 +41,20 @@
                 sink.sendall(data)
 
 
-class Slow:
+class VoteHandler:
     def __init__(self):
-        self.both = threading.Barrier(2)
+        self.two_calls = threading.Barrier(2)
 
     def vote(self, request):
         if request.term == 1:
-            self.both.wait(30)  # holds two connections open at the same time
+            self.two_calls.wait(30)  # holds two connections open at the same time
         return messages.VoteReply(request.term, True)
 
     append = install_snapshot = hello = None
 
 
 def test_all_silent_connections_are_replaced_after_one_failed_call():
-    with RpcServer("127.0.0.1", 0, {messages.Raft: Slow()}) as server:
+    with RpcServer("127.0.0.1", 0, {messages.Raft: VoteHandler()}) as server:
         host, _, port = server.address.partition(":")
         middlebox = Middlebox((host, int(port)))
         transport = RpcTransport()
@@ -67,7 +67,7 @@
             thread.start()
         for thread in threads:
             thread.join()
-        middlebox.forget()
+        middlebox.drop_connections()
         with pytest.raises(ConnectionError):
             vote(2, timeout=0.3)
         assert vote(3)
