--- a/libs/arbutusrill_raft/_core.py
+++ b/libs/arbutusrill_raft/_core.py
@@ -90,7 +90,7 @@
         self.unwritten_entries: list[Entry] = []  # in the log, not yet handed to the disk
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.leader_of_term: tuple[int, str] = (0, "")
+        self.leader_of_term: tuple[int, str] = (0, "")  # latest term with a known leader, and that leader
         self.fault = ""
         self.stopping = False
         self.vote_round = 0  # incremented by each pre-vote and each vote; identifies late replies
@@ -210,16 +210,16 @@
     def _early_election_delay_s(self) -> float:
         return random.uniform(1, 2) * self.timing.heartbeat_s
 
-    def step_down(self, term: int, why: str) -> None:
+    def step_down(self, term: int, reason: str) -> None:
         """Becomes a follower in `term`, which must not be lower than the current term."""
         if term > self.term:
             self.save_term_and_vote(term, "")
             self.leader = ""
         if self.role is Role.LEADER:
-            _log.info("%s steps down as leader of term %d: %s", self.own_id, self.term, why)
+            _log.info("%s steps down as leader of term %d: %s", self.own_id, self.term, reason)
             self.leader = ""
             self.reset_election_timer()
-            self._fail_pending_proposals(lambda: LogUnavailableError(f"leadership lost: {why}", appended=True))
+            self._fail_pending_proposals(lambda: LogUnavailableError(f"leadership lost: {reason}", appended=True))
         if self.role is not Role.FAULTY:
             self.role = Role.FOLLOWER
         self.wake_all()
@@ -304,7 +304,7 @@
         self.state_changed.notify_all()
 
     def advance_commit(self) -> None:
-        """On the leader, commits the entries that a majority of voters has made durable, up to one of this term."""
+        """On the leader, commits up to the last entry that a majority of voters has durably, if it is of this term."""
         if self.role is not Role.LEADER:
             return
         durable_indexes = [
@@ -352,4 +352,4 @@
         else:
             future.set_result(result)
     except InvalidStateError:
-        pass  # cancelled by the proposer
+        pass  # already completed or cancelled
--- a/libs/arbutusrill_raft/_elections.py
+++ b/libs/arbutusrill_raft/_elections.py
@@ -30,7 +30,7 @@
     def __init__(self, core: Core, transport: Transport, initial: list[str], address: str):
         self._core = core
         self._transport = transport
-        self._other_initial = [other for other in initial if other != address]
+        self._other_initial_voters = [other for other in initial if other != address]
         self._is_founder = bool(initial) and address == min(initial)
 
     def run(self) -> None:
@@ -96,7 +96,7 @@
         """Appends the first membership if every initial voter answers and none belongs to a group."""
         core = self._core
         members = [core.own_id]
-        for other in self._other_initial:
+        for other in self._other_initial_voters:
             try:
                 reply = self._transport.call(other, "hello", core.own_id, core.timing.call_s)
             except (OSError, messages.Refused):
@@ -105,7 +105,7 @@
                 break
             members.append(reply.member)
         with core.lock:
-            complete = len(members) == len(self._other_initial) + 1
+            complete = len(members) == len(self._other_initial_voters) + 1
             if not complete or core.membership is not None:
                 wait = _FORMATION_RETRY_S * random.uniform(0.5, 1.5)
                 if core.membership is None:
--- a/libs/arbutusrill_raft/_log.py
+++ b/libs/arbutusrill_raft/_log.py
@@ -34,7 +34,7 @@
 
 
 class LogUnavailableError(Exception):
-    """The log cannot serve the request: no quorum in time, a fault or a stop.
+    """The log cannot complete the request, for example because no quorum has answered in time.
 
     `appended` says whether the entry may still be committed later.
     """
--- a/libs/arbutusrill_raft/_log_threads.py
+++ b/libs/arbutusrill_raft/_log_threads.py
@@ -10,7 +10,7 @@
 
 __all__ = ["Applier", "Writer"]
 
-_MAX_APPLY_BATCH_BYTES = 256 * 1024  # limits the delay until a received snapshot is restored
+_MAX_APPLY_BATCH_BYTES = 256 * 1024  # applied before the loop checks for a stop, a received snapshot or a due snapshot
 _log = PartLog("raft")
 
 
--- a/libs/arbutusrill_raft/_membership_changes.py
+++ b/libs/arbutusrill_raft/_membership_changes.py
@@ -100,11 +100,11 @@
         with core.lock:
             self._wait_as_leader(lambda: True, core.clock.monotonic(), "")
             group = core.membership.group
-            me = core.own_id
-        if address == address_of(me):
-            return me
+            own_id = core.own_id
+        if address == address_of(own_id):
+            return own_id
         try:
-            reply = self._transport.call(address, "hello", me, core.timing.call_s)
+            reply = self._transport.call(address, "hello", own_id, core.timing.call_s)
         except (OSError, messages.Refused) as error:
             raise MembershipError(f"the replica at {address} does not answer: {error}") from None
         if reply.fault:
--- a/libs/arbutusrill_raft/_peer.py
+++ b/libs/arbutusrill_raft/_peer.py
@@ -194,7 +194,7 @@
             name = core.storage.latest_snapshot()
             index = int(name.removeprefix("snapshot-"))
             self._snapshot_transfer = _SnapshotTransfer(name, index, core.storage.snapshot_size(name))
-            _log.info("sending %s to %s, %d bytes", name, self.member, self._snapshot_transfer.size)
+            _log.info("%s: sending %s, %d bytes", self.member, name, self._snapshot_transfer.size)
         transfer = self._snapshot_transfer
         try:
             data = core.storage.read_snapshot(transfer.name, transfer.offset, core.bounds.chunk_bytes)
--- a/libs/arbutusrill_raft/_receiver.py
+++ b/libs/arbutusrill_raft/_receiver.py
@@ -65,7 +65,7 @@
         return (request.last_term, request.last_index) >= (log.last_term, log.last_index)
 
     def append(self, request: Any) -> Any:
-        """Appends entries and replies with the last durable index, after at most `Timing.durable_wait_s`."""
+        """Appends entries; replies once they are durable, or after `durable_wait_s` with the last durable index."""
         core = self._core
         with core.lock:
             core.require_target(request.target)
@@ -96,7 +96,7 @@
     def _conflict_hint(self, request: Any) -> int | None:
         """Returns None when the log has the previous entry, else the index after which the leader should retry.
 
-        Raises `InvariantError` when the logs differ before an entry with the same index and term.
+        Raises `InvariantError` when both logs have that entry in the same term, but their running hashes differ.
         """
         core = self._core
         previous = request.previous_index
--- a/libs/arbutusrill_raft/_replica.py
+++ b/libs/arbutusrill_raft/_replica.py
@@ -165,8 +165,8 @@
     def confirm(self, timeout: float) -> None:
         """Returns once this replica has proven that it led at some time after the start of the call.
 
-        Returns without waiting for messages while the leader holds a lease, for `Timing.lease_s` seconds after it sent
-        messages that a majority has acknowledged.
+        Needs no further messages while the leader holds a lease, which lasts for `Timing.lease_s` seconds after the
+        send time of messages that a majority has acknowledged.
         """
         core = self._core
         started = core.clock.monotonic()
--- a/libs/arbutusrill_raft/_storage.py
+++ b/libs/arbutusrill_raft/_storage.py
@@ -13,7 +13,7 @@
 from ._files import Folder
 from ._frames import CorruptError, Snapshot, pack_entries, read_entries
 
-__all__ = ["Storage", "StorageError", "LoadedState"]
+__all__ = ["LoadedState", "Storage", "StorageError"]
 
 _IDENTITY_FILE = "identity.json"
 _META_FILE = "meta"
@@ -132,7 +132,7 @@
     def _replay(self, log: EntryLog, entry: Entry, name: str, conflict: bool) -> bool:
         """Adds one entry read from a segment; returns whether the log conflicts with the snapshot.
 
-        A conflicting log is dropped as a whole, as its entries at the snapshot's last index have another term.
+        A conflicting log is dropped as a whole, because its entry at the snapshot's last index has another term.
         """
         if entry.index <= log.last_index:
             log.truncate_from(max(entry.index, log.base_index + 1))
--- a/libs/arbutusrill_raft/tests/group.py
+++ b/libs/arbutusrill_raft/tests/group.py
@@ -153,23 +153,27 @@
 
     def call(self, address, name, request, timeout):
         group = self.group
-        receiver = group.receiver(self.source, address)
+        handler = group.reachable_handler(self.source, address)
         if random.random() < group.loss_probability:
             raise ConnectionError("request lost")
         time.sleep(random.uniform(0, group.max_delay_s))
         for _ in range(2 if random.random() < group.duplicate_probability else 1):
-            reply = getattr(receiver, name)(request if name == "hello" else copy(request))
-        if group.receiver(self.source, address) is not receiver or (address, self.source) in group.blocked_links:
+            reply = getattr(handler, name)(request if name == "hello" else wire_copy(request))
+        if (
+            group.reachable_handler(self.source, address) is not handler
+            or (address, self.source) in group.blocked_links
+        ):
             raise ConnectionError("reply cut off")
         if random.random() < group.loss_probability:
             raise ConnectionError("reply lost")
-        return copy(reply)
+        return wire_copy(reply)
 
     def close(self):
         pass
 
 
-def copy(message):
+def wire_copy(message):
+    """Returns the message after encoding and decoding, as over the network."""
     return decode(type(message), encode(message))
 
 
@@ -198,8 +202,8 @@
         disk = self.disks.setdefault(address, MemoryDisk())
         disk.max_sync_s = self.max_sync_s
         machine = self.machines[address] = ListMachine()
-        link = FaultyTransport(self, address)
-        replica = Replica(address, self.initial, disk, machine, link, clock, self.timing, self.bounds, alone_since)
+        transport = FaultyTransport(self, address)
+        replica = Replica(address, self.initial, disk, machine, transport, clock, self.timing, self.bounds, alone_since)
         self.replicas[address] = replica
         return replica.__enter__()
 
@@ -216,12 +220,13 @@
         self.kill(address)
         self.disks[address] = MemoryDisk()
 
-    def receiver(self, source, address):
+    def reachable_handler(self, source, address):
         if (source, address) in self.blocked_links or address not in self.replicas or source not in self.replicas:
             raise ConnectionError("cut off")
         return self.replicas[address].handler
 
     def cut(self, address, inward=True, outward=True):
+        """Blocks the messages to (`inward`) and from (`outward`) a replica."""
         for other in set(self.disks) - {address}:
             self.blocked_links |= {(other, address)} if inward else set()
             self.blocked_links |= {(address, other)} if outward else set()
@@ -294,11 +299,12 @@
 def wait_until(condition, what):
     deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
-        assert time.monotonic() < deadline, f"not in time: {what}"
+        assert time.monotonic() < deadline, f"timed out waiting for: {what}"
         time.sleep(0.005)
 
 
 def refusal_code(call, *arguments):
+    """Returns the code with which a call is refused, empty when it succeeds."""
     try:
         call(*arguments)
     except messages.Refused as error:
--- a/libs/arbutusrill_raft/tests/test_random.py
+++ b/libs/arbutusrill_raft/tests/test_random.py
@@ -171,7 +171,7 @@
         while passed < len(ended) and ended[passed][0] < started:
             latest = max(latest, ended[passed][1])
             passed += 1
-        assert position[data] > latest, f"{data} precedes an entry that was accepted before {data} was proposed"
+        assert position[data] > latest, f"{data} precedes an entry that was accepted before the proposal"
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/libs/arbutusrill_raft/tests/test_transport.py
+++ b/libs/arbutusrill_raft/tests/test_transport.py
@@ -28,17 +28,17 @@
     def _accept(self):
         while True:
             try:
-                near, _ = self._listener.accept()
+                client_side, _ = self._listener.accept()
             except OSError:
                 return
-            far = socket.create_connection(self._target)
-            for ends in ((near, far), (far, near)):
-                threading.Thread(target=self._forward, args=(*ends, self._generation), daemon=True).start()
+            server_side = socket.create_connection(self._target)
+            for sockets in ((client_side, server_side), (server_side, client_side)):
+                threading.Thread(target=self._forward, args=(*sockets, self._generation), daemon=True).start()
 
-    def _forward(self, source, sink, generation):
+    def _forward(self, source, destination, generation):
         while data := source.recv(65536):
             if generation == self._generation:
-                sink.sendall(data)
+                destination.sendall(data)
 
 
 class VoteHandler:
