--- a/libs/arbutusrill_limits/__init__.py
+++ b/libs/arbutusrill_limits/__init__.py
@@ -1,4 +1,4 @@
-"""Fleet-wide token rates of workspaces: the owner's buckets and the charges on entry VMs."""
+"""Fleet-wide rate limiting of workspaces with token buckets, token grants and charges on entry VMs."""
 
 from ._bucket import Bucket, GrantBoundError, Limits, WindowBound
 from ._fleet_buckets import FleetBuckets, FleetLevels, SpendReport
--- a/libs/arbutusrill_limits/_fleet_buckets.py
+++ b/libs/arbutusrill_limits/_fleet_buckets.py
@@ -1,4 +1,4 @@
-"""The leader's side of rates that are counted over all entry VMs."""
+"""Token buckets on the leader, shared by all entry VMs."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(slots=True, frozen=True)
 class SpendReport:
-    """What an entry VM tells the leader.
+    """Report of an entry VM to the leader.
 
-    `spent` holds the tokens by workspace since the VM's start; a report that is not `whole` leaves out workspaces whose
-    totals have not changed. A whole one also has the `levels` that the VM learned `levels_age_s` seconds ago, and in
-    `uncounted` what it has spent or been granted since then.
+    `spent` holds the tokens by workspace since the VM's start; a report that is not `whole` omits workspaces whose
+    totals have not changed. A whole report also holds the `levels` that the VM received `levels_age_s` seconds ago, and
+    in `uncounted` the tokens by workspace that it has spent or been granted since then.
     """
 
     spent: dict[str, float]
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetLevels:
-    """Tokens in the buckets that are not full; `counted` is False until the VM has sent a whole report."""
+    """Levels in tokens of the buckets that are not full; `counted` is False until the VM has sent a whole report."""
 
     tokens_by_workspace: dict[str, float]
     counted: bool = True
@@ -39,21 +39,22 @@
 
 @dataclass(slots=True)
 class Level:
-    """Tokens in a bucket at a time on the monotonic clock."""
+    """Level of a bucket in tokens at a time on the monotonic clock."""
 
     tokens: float
-    at: float
+    updated_at: float
 
     def refill(self, rate: float, capacity: float, now: float) -> None:
-        """Adds what has come since `at`, up to the bucket's capacity."""
-        self.tokens = min(capacity, self.tokens + rate * (now - self.at))
-        self.at = now
+        """Adds the tokens that have accrued since `updated_at`, up to `capacity`."""
+        self.tokens = min(capacity, self.tokens + rate * (now - self.updated_at))
+        self.updated_at = now
 
 
 class FleetBuckets:
-    """One bucket for each workspace: entry VMs report what they spend, or ask before they spend.
+    """Token buckets by workspace; entry VMs charge them in advance or report what they have spent.
 
-    A bucket starts full, holds the burst and `slack`, and goes below zero by what was spent before a report.
+    A bucket holds the burst plus `slack` tokens and starts full. Its level can become negative, because reports are
+    deducted after the tokens were spent.
 
     >>> from arbutusrill_base import ManualClock
     >>> buckets = FleetBuckets(lambda workspace: Limits(10.0, 100.0), ManualClock())
@@ -66,7 +67,7 @@
     """
 
     def __init__(self, limits_of: Callable[[str], Limits | None], clock: Clock, slack: float = 0.0):
-        self._plain_limits_of = limits_of
+        self._base_limits_of = limits_of
         self._clock = clock
         self._slack = slack
         self._lock = threading.Lock()
@@ -74,34 +75,34 @@
         self._spent_by_reporter: dict[tuple[str, int], dict[str, float]] = {}
 
     def _limits_of(self, workspace: str) -> Limits | None:
-        limits = self._plain_limits_of(workspace)
+        limits = self._base_limits_of(workspace)
         return None if limits is None else limits.widened(self._slack)
 
     def report(self, vm: str, incarnation: int, report: SpendReport) -> FleetLevels:
-        """Takes the report of an entry VM; returns the levels that are not full.
+        """Deducts what an entry VM has spent; returns the levels of the buckets that are not full.
 
-        The totals of the first whole report are a starting point only, since a new leader does not know what of them
-        the leader before has charged; nothing is charged before it.
+        The totals of the VM's first whole report are only a baseline, because a new leader does not know how much of
+        them the previous leader has deducted. Reports before it are not deducted.
         """
         now = self._clock.monotonic()
         with self._lock:
-            known = self._spent_by_reporter.get((vm, incarnation))
-            if known is None:
+            counted_totals = self._spent_by_reporter.get((vm, incarnation))
+            if counted_totals is None:
                 if not report.whole:
                     return FleetLevels({}, counted=False)
                 self._spent_by_reporter[vm, incarnation] = dict(report.spent)
-                self._take_over(report, now)
+                self._restore_levels(report, now)
                 return self._levels(now)
             for workspace, total in report.spent.items():
-                self._spend(workspace, total - known.get(workspace, 0.0), now)
-                known[workspace] = total
+                self._deduct(workspace, total - counted_totals.get(workspace, 0.0), now)
+                counted_totals[workspace] = total
             return self._levels(now)
 
     def charge(self, vm: str, incarnation: int, workspace: str, tokens: float) -> float | None:
-        """Charges `tokens` and returns 0, or returns after how many seconds they would be there.
+        """Deducts `tokens` and returns 0, or returns the seconds until enough tokens will have accrued.
 
-        Returns None for a VM that has not sent a whole report. A request larger than the bucket is admitted when
-        that is full.
+        Returns None for a VM that has not sent a whole report. A charge larger than the bucket is accepted when the
+        bucket is full.
         """
         now = self._clock.monotonic()
         with self._lock:
@@ -111,9 +112,9 @@
             if limits is None:
                 return 0.0
             level = self._level(workspace, limits, now)
-            lacking = min(tokens, limits.burst) - level.tokens
-            if lacking > 0:
-                return lacking / limits.rate
+            shortfall = min(tokens, limits.burst) - level.tokens
+            if shortfall > 0:
+                return shortfall / limits.rate
             level.tokens -= tokens
             return 0.0
 
@@ -122,20 +123,20 @@
         level.refill(limits.rate, limits.burst, now)
         return level
 
-    def _spend(self, workspace: str, tokens: float, now: float) -> None:
+    def _deduct(self, workspace: str, tokens: float, now: float) -> None:
         limits = self._limits_of(workspace)
         if limits is not None:
             self._level(workspace, limits, now).tokens -= tokens
 
-    def _take_over(self, report: SpendReport, now: float) -> None:
-        """Goes on from the levels of the leader before, so that no bucket is filled by the change."""
+    def _restore_levels(self, report: SpendReport, now: float) -> None:
+        """Restores the levels of the previous leader, so that a change of leader refills no bucket."""
         for workspace, tokens in report.levels.items():
             limits = self._limits_of(workspace)
             if limits is not None:
                 level = self._level(workspace, limits, now)
                 level.tokens = min(level.tokens, tokens + limits.rate * report.levels_age_s)
         for workspace, tokens in report.uncounted.items():
-            self._spend(workspace, tokens, now)
+            self._deduct(workspace, tokens, now)
 
     def _levels(self, now: float) -> FleetLevels:
         levels = {}
@@ -150,12 +151,12 @@
         return FleetLevels(levels)
 
     def forget(self, vm: str, incarnation: int) -> None:
-        """Drops the totals of an entry VM that is gone."""
+        """Drops the reported totals of an entry VM, which then has to send a whole report."""
         with self._lock:
             self._spent_by_reporter.pop((vm, incarnation), None)
 
     def reset(self) -> None:
-        """Drops everything at the start of a leadership."""
+        """Drops all levels and reported totals when this VM becomes the leader."""
         with self._lock:
             self._level_by_workspace.clear()
             self._spent_by_reporter.clear()
--- a/libs/arbutusrill_limits/_owner.py
+++ b/libs/arbutusrill_limits/_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side: token buckets of all workspaces, kept by the control group's leader in memory."""
+"""Token buckets of all workspaces, kept in memory by the control group's leader, which grants tokens to entry VMs."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 
 __all__ = ["GrantOwner"]
 
-_NEED_S = 1.0  # a VM that has not asked again for this long no longer waits
-_KEPT_VMS = 4096  # incarnations whose last answer is kept; the target has 390 nodes and 110 restarts a day
-_US = 1_000_000
+_NEED_TTL_S = 1.0  # a VM that does not repeat its request for this long loses its place in the queue
+_MAX_CACHED_REPLIES = 4096  # by VM incarnation; the target deployment has 390 nodes and 110 restarts a day
+_US_PER_S = 1_000_000
 
 
 @dataclass(slots=True)
-class _Need:
+class _WaitingNeed:
     tokens: float
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
 class _Account:
-    """A bucket and the VMs that wait for it, first come first served."""
+    """Bucket of a workspace and the VMs that wait for tokens, in first-come, first-served order."""
 
     bucket: Bucket
-    need_by_vm: OrderedDict[str, _Need] = field(default_factory=OrderedDict)
+    need_by_vm: OrderedDict[str, _WaitingNeed] = field(default_factory=OrderedDict)
 
 
 @dataclass(slots=True)
-class _Last:
+class _LastReply:
     sequence: int
     reply: Any
 
 
 class GrantOwner:
-    """Grants tokens of workspaces to entry VMs so that all VMs together stay within rate and burst.
+    """Grants tokens to entry VMs so that all VMs together stay within each workspace's rate and burst.
 
-    `limits_of` returns the `Limits` of a workspace, or None for an unknown one. The epoch is the term of the
-    leader: each new term begins with empty buckets that fill from one lease and the clock drift after its start,
+    `limits_of` returns the `Limits` of a workspace, or None for an unknown one. The epoch is the
+    leader's term. Each term begins with empty buckets, which start to fill `MAX_LEASE_S` plus the clock drift later,
     when every grant of an earlier leader has expired.
     """
 
@@ -53,58 +53,60 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._epoch: int | None = None
-        self._filling_from = 0.0
+        self._refill_starts_at = 0.0
         self._account_by_workspace: dict[str, _Account] = {}
-        self._last_by_vm: OrderedDict[tuple[str, int], _Last] = OrderedDict()
+        self._last_reply_by_vm: OrderedDict[tuple[str, int], _LastReply] = OrderedDict()
 
     def enter_epoch(self, epoch: int) -> None:
-        """Begins a new epoch unless `epoch` is the current one."""
+        """Discards all buckets and cached replies unless `epoch` is the current epoch."""
         with self._lock:
             if epoch == self._epoch:
                 return
             self._epoch = epoch
-            self._filling_from = self._clock.monotonic() + MAX_LEASE_S + CLOCK_DRIFT_S
+            self._refill_starts_at = self._clock.monotonic() + MAX_LEASE_S + CLOCK_DRIFT_S
             self._account_by_workspace.clear()
-            self._last_by_vm.clear()
+            self._last_reply_by_vm.clear()
 
     def grant(self, request: Any, epoch: int) -> Any:
         """Answers a `GrantRequest` as the leader of term `epoch`.
 
-        A request that is sent again with the same sequence number gets the first answer again, so that its
-        returned tokens are credited once and its grants are made once. Raises `messages.Refused` with
-        ``stale_request`` for a number that was passed already.
+        A request resent with the same sequence number gets the cached reply, so that its returned tokens are credited
+        once and its grants are made once. Raises `messages.Refused` with ``stale_request`` for a sequence number lower
+        than the last one, and with ``not_leader`` for another epoch.
         """
         self.enter_epoch(epoch)
         with self._lock:
             if epoch != self._epoch:
                 raise messages.Refused("not_leader", f"the grant epoch is {self._epoch}, not {epoch}")
             vm = (request.vm, request.incarnation)
-            last = self._last_by_vm.get(vm)
+            last = self._last_reply_by_vm.get(vm)
             if last is not None and request.sequence <= last.sequence:
                 if request.sequence == last.sequence:
                     return last.reply
                 message = f"grant request {request.sequence} was overtaken by {last.sequence}"
                 raise messages.Refused("stale_request", message)
-            now = int(self._clock.monotonic() * _US) / _US  # grants name their time in whole microseconds
-            reply = messages.GrantReply([self._item(request.vm, item, now) for item in request.items or []], epoch)
-            self._last_by_vm[vm] = _Last(request.sequence, reply)
-            self._last_by_vm.move_to_end(vm)
-            while len(self._last_by_vm) > _KEPT_VMS:
-                self._last_by_vm.popitem(last=False)
+            now = int(self._clock.monotonic() * _US_PER_S) / _US_PER_S  # grants carry their time in whole microseconds
+            reply = messages.GrantReply(
+                [self._grant_for_item(request.vm, item, now) for item in request.items or []], epoch
+            )
+            self._last_reply_by_vm[vm] = _LastReply(request.sequence, reply)
+            self._last_reply_by_vm.move_to_end(vm)
+            while len(self._last_reply_by_vm) > _MAX_CACHED_REPLIES:
+                self._last_reply_by_vm.popitem(last=False)
             return reply
 
-    def _item(self, vm: str, item: Any, now: float) -> Any:
+    def _grant_for_item(self, vm: str, item: Any, now: float) -> Any:
         limits = self._limits_of(item.workspace)
         if limits is None:
-            # The account stays: a workspace that is removed and created again must not get a second burst.
+            # The account is kept: a workspace that is removed and created again must not get a second burst.
             return messages.Grant(item.workspace, 0.0, 0, 0.0)
         account = self._account(item.workspace, limits, now)
         bucket = account.bucket
         for returned in item.returns or []:
             if returned.epoch == self._epoch and returned.tokens > 0:
-                bucket.credit(returned.tokens, returned.issued_us / _US, now)
-        tokens, retry_s = self._share(account, vm, item, now)
-        issued_us = round(now * _US)
+                bucket.credit(returned.tokens, returned.issued_us / _US_PER_S, now)
+        tokens, retry_s = self._allocate(account, vm, item, now)
+        issued_us = round(now * _US_PER_S)
         lease_ms = int(limits.lease_s * 1000)
         retry_ms = int(retry_s * 1000) + 1 if retry_s > 0 else 0
         return messages.Grant(item.workspace, tokens, lease_ms, limits.capacity, min(retry_ms, 2**31 - 1), issued_us)
@@ -112,31 +114,31 @@
     def _account(self, workspace: str, limits: Limits, now: float) -> _Account:
         account = self._account_by_workspace.get(workspace)
         if account is None:
-            account = _Account(Bucket(limits, self._filling_from))
+            account = _Account(Bucket(limits, self._refill_starts_at))
             self._account_by_workspace[workspace] = account
-        account.bucket.change(limits, now)
+        account.bucket.set_limits(limits, now)
         return account
 
-    def _share(self, account: _Account, vm: str, item: Any, now: float) -> tuple[float, float]:
-        """Returns the tokens granted and, when that is none, the seconds until there may be enough."""
+    def _allocate(self, account: _Account, vm: str, item: Any, now: float) -> tuple[float, float]:
+        """Returns the tokens granted and, if none, the expected seconds until enough are available."""
         bucket = account.bucket
         needs = account.need_by_vm
-        for name in [name for name, need in needs.items() if need.until < now]:
+        for name in [name for name, need in needs.items() if need.expires_at < now]:
             del needs[name]
-        ahead = 0.0
+        preceding_tokens = 0.0
         for name, need in needs.items():
             if name == vm:
                 break
-            ahead += need.tokens
+            preceding_tokens += need.tokens
         needed = min(max(item.needed, 0.0), bucket.limits.capacity)
-        others = sum(need.tokens for name, need in needs.items() if name != vm)
-        if needed > 0 and bucket.level - ahead < needed:
-            needs[vm] = _Need(needed, now + _NEED_S)
-            return 0.0, (ahead + needed - bucket.level) / bucket.limits.rate
+        others_needed = sum(need.tokens for name, need in needs.items() if name != vm)
+        if needed > 0 and bucket.level - preceding_tokens < needed:
+            needs[vm] = _WaitingNeed(needed, now + _NEED_TTL_S)
+            return 0.0, (preceding_tokens + needed - bucket.level) / bucket.limits.rate
         needs.pop(vm, None)
-        # What goes beyond the need is only taken from what no other VM waits for.
-        spare = max(0.0, bucket.level - others - needed)
+        # Prefetched tokens come only from those that no other VM waits for.
+        spare = max(0.0, bucket.level - others_needed - needed)
         tokens = needed + min(max(0.0, item.wanted - needed), spare)
         if tokens > 0:
-            bucket.take(tokens, now)
+            bucket.withdraw(tokens, now)
         return tokens, 0.0
--- a/libs/arbutusrill_limits/tests/test_fleet.py
+++ b/libs/arbutusrill_limits/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Guards against workspaces that are refused inside their rate, or admitted beyond it, by many entry VMs together."""
+"""Guards against many entry VMs that together refuse a workspace within its rate or admit it beyond its rate."""
 
 import random
 
@@ -14,23 +14,23 @@
     def __init__(self, clock, limits=LIMITS, slack=0.0):
         self.clock, self.limits = clock, limits
         self.buckets = FleetBuckets(lambda workspace: limits, clock, slack)
-        self.lost = False
-        self.asked = 0
+        self.is_unreachable = False
+        self.charge_calls = 0
 
-    def change(self):
+    def restart(self):
         self.buckets.reset()
 
 
-class Entry(RateAuthority):
-    """One entry VM with the calls that its follower makes."""
+class EntryVm(RateAuthority):
+    """One entry VM that polls the leader as its follower does."""
 
     def __init__(self, leader, name="vm-1", count=1, slack=0.0):
         self.meter = FleetMeter(leader.clock, self, lambda: count, slack)
         self.leader, self.name = leader, name
 
     def charge(self, workspace, tokens):
-        self.leader.asked += 1
-        wait_s = None if self.leader.lost else self.leader.buckets.charge(self.name, 1, workspace, tokens)
+        self.leader.charge_calls += 1
+        wait_s = None if self.leader.is_unreachable else self.leader.buckets.charge(self.name, 1, workspace, tokens)
         if wait_s is None:
             raise RateAuthorityLostError("no answer")
         return wait_s
@@ -40,7 +40,7 @@
         self.meter.learn(report, self.leader.buckets.report(self.name, 1, report))
 
     def admit(self, tokens):
-        """Returns None, or the wait of a refused request."""
+        """Returns None if the request is admitted, else its wait in seconds."""
         self.last = self.meter.admit("clinic", tokens, self.leader.limits)
         return self.last.wait_s or None
 
@@ -55,14 +55,14 @@
     return Leader(clock)
 
 
-def test_what_was_spent_before_a_change_of_leader_is_not_charged_again(clock, leader):
-    entry = Entry(leader)
+def test_tokens_spent_before_a_change_of_leader_are_not_charged_again(clock, leader):
+    entry = EntryVm(leader)
     for _ in range(30):
         entry.poll()
         assert entry.admit(50.0) is None
         clock.advance(5.0)
         entry.poll()
-    leader.change()
+    leader.restart()
     for _ in range(3):
         entry.poll()
     clock.advance(5.0)
@@ -73,10 +73,10 @@
 
 
 def test_spending_after_a_change_of_leader_is_charged(leader):
-    entry, other = Entry(leader), Entry(leader, "vm-2")
+    entry, other = EntryVm(leader), EntryVm(leader, "vm-2")
     entry.poll()
     other.poll()
-    leader.change()
+    leader.restart()
     for vm in (entry, other):
         vm.poll()
         vm.poll()
@@ -86,24 +86,24 @@
     assert other.admit(80.0) == pytest.approx(6.0)
 
 
-def test_spending_that_no_leader_has_counted_is_charged_by_the_next_one(leader):
-    entry, other = Entry(leader), Entry(leader, "vm-2")
+def test_tokens_spent_but_not_reported_are_charged_by_the_next_leader(leader):
+    entry, other = EntryVm(leader), EntryVm(leader, "vm-2")
     entry.poll()
     other.poll()
     assert entry.admit(40.0) is None
-    leader.change()
+    leader.restart()
     for _ in range(2):
         entry.poll()
         other.poll()
     assert other.admit(80.0) == pytest.approx(2.0)
 
 
-def test_tokens_that_a_leader_granted_are_charged_by_the_next_one(leader):
-    entry, other = Entry(leader), Entry(leader, "vm-2")
+def test_tokens_granted_by_a_leader_are_charged_by_the_next_one(leader):
+    entry, other = EntryVm(leader), EntryVm(leader, "vm-2")
     entry.poll()
     other.poll()
     assert entry.admit(80.0) is None and entry.last.decided_by == "leader"
-    leader.change()
+    leader.restart()
     for _ in range(2):
         entry.poll()
         other.poll()
@@ -111,8 +111,8 @@
 
 
 def test_vm_that_the_leader_has_forgotten_is_charged_again_from_then_on(leader):
-    # A suspended VM is dropped; its totals were never asked for again under the same leader.
-    entry, other = Entry(leader), Entry(leader, "vm-2")
+    # The leader drops a suspended VM; it once never asked the VM for a whole report again under the same leader.
+    entry, other = EntryVm(leader), EntryVm(leader, "vm-2")
     entry.poll()
     other.poll()
     leader.buckets.forget("vm-1", 1)
@@ -123,7 +123,7 @@
     assert other.admit(80.0) == pytest.approx(2.0)
 
 
-def test_report_in_part_before_a_whole_one_charges_nothing(leader):
+def test_partial_report_before_a_whole_one_charges_nothing(leader):
     answer = leader.buckets.report("vm-1", 1, SpendReport({"clinic": 500.0}))
     assert answer.tokens_by_workspace == {} and not answer.counted
     answer = leader.buckets.report("vm-1", 1, SpendReport({"clinic": 500.0, "desk": 900.0}, True))
@@ -139,11 +139,11 @@
 
 
 def test_change_of_leader_fills_no_bucket(clock, leader):
-    entry = Entry(leader)
+    entry = EntryVm(leader)
     entry.poll()
     assert entry.admit(100.0) is None
     entry.poll()
-    leader.change()
+    leader.restart()
     clock.advance(0.5)
     entry.poll()
     clock.advance(0.1)
@@ -151,41 +151,41 @@
     assert entry.admit(20.0) == pytest.approx(1.4)
 
 
-def test_leader_that_does_not_know_a_vm_leaves_it_to_its_part_of_the_rate(clock, leader):
-    entry = Entry(leader, count=2)
+def test_vm_unknown_to_the_leader_is_limited_to_its_share_of_the_rate(clock, leader):
+    entry = EntryVm(leader, count=2)
     assert entry.admit(50.0) is None
     assert entry.admit(5.0) == pytest.approx(1.0)
     assert entry.last.decided_by == "part"
 
 
-def test_lost_leader_leaves_a_vm_its_part_of_what_was_left(clock, leader):
-    # A full part beside a bucket that is spent already would admit twice the burst.
-    entry = Entry(leader, count=2)
+def test_vm_without_a_leader_is_limited_to_its_share_of_the_last_level(clock, leader):
+    # A VM's full share on top of an already spent bucket would admit twice the burst.
+    entry = EntryVm(leader, count=2)
     entry.poll()
     leader.buckets.report("vm-2", 1, SpendReport({}, True))
     leader.buckets.report("vm-2", 1, SpendReport({"clinic": 90.0}))
     entry.poll()
-    leader.lost = True
+    leader.is_unreachable = True
     assert entry.admit(5.0) is None
     assert entry.admit(5.0) is not None
-    assert leader.asked == 1
+    assert leader.charge_calls == 1
 
 
-def test_refused_request_is_not_asked_for_again_before_its_time(clock, leader):
-    entry = Entry(leader)
+def test_refusal_is_repeated_without_asking_the_leader(clock, leader):
+    entry = EntryVm(leader)
     entry.poll()
     assert entry.admit(100.0) is None
     assert entry.admit(50.0) == pytest.approx(5.0)
     assert entry.last.decided_by == "leader"
-    asked = leader.asked
-    assert entry.admit(50.0) is not None and leader.asked == asked
+    charge_calls = leader.charge_calls
+    assert entry.admit(50.0) is not None and leader.charge_calls == charge_calls
     assert entry.last.decided_by == "refusal"
     clock.advance(0.3)
     assert entry.admit(2.0) is None
 
 
-def test_refund_gives_back_what_the_leader_has_charged(leader):
-    entry = Entry(leader)
+def test_refund_returns_tokens_that_the_leader_has_charged(leader):
+    entry = EntryVm(leader)
     entry.poll()
     assert entry.admit(100.0) is None
     entry.meter.refund("clinic", 100.0)
@@ -194,11 +194,11 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_many_vms_that_poll_seldom_keep_to_the_bucket_under_several_times_the_rate(clock, seed):
+def test_many_vms_that_poll_rarely_stay_within_the_bucket_under_several_times_the_rate(clock, seed):
     rng = random.Random(seed)
     limits, slack, window_s = Limits(47_000.0, 47_000.0), 105_000.0, 8.0
     leader = Leader(clock, limits, slack)
-    entries = [Entry(leader, f"vm-{number}", 54, slack) for number in range(54)]
+    entries = [EntryVm(leader, f"vm-{number}", 54, slack) for number in range(54)]
     polls_at = {entry.name: rng.uniform(0.0, 0.5) for entry in entries}
     admitted, tokens = [], 5_300.0
     for _ in range(2_400):
@@ -211,7 +211,7 @@
             if rng.choice(entries).admit(tokens) is None:
                 admitted.append(now)
         clock.advance(0.01)
-    most = max(sum(tokens for at in admitted if start <= at < start + window_s) for start in admitted)
+    peak_tokens = max(sum(tokens for at in admitted if start <= at < start + window_s) for start in admitted)
     allowed = limits.rate * window_s + limits.burst + slack
-    assert most <= allowed
+    assert peak_tokens <= allowed
     assert len(admitted) * tokens >= 0.95 * (limits.rate * 24.0)
--- a/libs/arbutusrill_limits/tests/test_owner.py
+++ b/libs/arbutusrill_limits/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""Guards against buckets that grant above the bound, lose tokens or count them twice."""
+"""Guards against buckets that grant more than the bound, lose tokens or count them twice."""
 
 import pytest
 from arbutusrill_base import ManualClock
@@ -16,32 +16,32 @@
 
 @pytest.fixture
 def owner(clock):
-    made = GrantOwner({"a": LIMITS}.get, clock)
-    made.enter_epoch(1)
+    grant_owner = GrantOwner({"a": LIMITS}.get, clock)
+    grant_owner.enter_epoch(1)
     clock.advance(10)
-    return made
+    return grant_owner
 
 
-def ask(owner, sequence, wanted=0.0, needed=0.0, returns=(), vm="v1", epoch=1):
+def request_grant(owner, sequence, wanted=0.0, needed=0.0, returns=(), vm="v1", epoch=1):
     item = messages.GrantItem("a", wanted, 0.0, needed, list(returns))
     return owner.grant(messages.GrantRequest(vm, 7, [item], 0, sequence), epoch).grants[0]
 
 
-def test_fault_in_the_balance_is_caught_by_the_bound():
+def test_bound_detects_an_error_in_the_level():
     bucket = Bucket(LIMITS, 0.0)
-    bucket.take(1500, 10.0)
-    bucket.level += 500  # the fault made on purpose
+    bucket.withdraw(1500, 10.0)
+    bucket.level += 500  # the injected error
     with pytest.raises(GrantBoundError):
-        bucket.take(500, 10.0)
+        bucket.withdraw(500, 10.0)
 
 
-def test_fault_in_the_credit_is_caught_by_the_bound():
+def test_bound_detects_an_error_in_the_credit():
     bucket = Bucket(LIMITS, 0.0)
-    bucket.take(1000, 10.0)
+    bucket.withdraw(1000, 10.0)
     bucket.advance(20.0)
-    bucket.level += 1000  # full again since the grant, so that a refund of it must not count
+    bucket.level += 1000  # full again since the grant, so a refund of it must not be credited
     with pytest.raises(GrantBoundError):
-        bucket.take(2000, 20.0)
+        bucket.withdraw(2000, 20.0)
 
 
 @pytest.mark.parametrize("limits", [Limits(1.0, 1.0), Limits(1e6, 1000.0), Limits(5.0, 1e9), LIMITS])
@@ -50,63 +50,63 @@
 
 
 def test_burst_is_split_over_vms_and_not_multiplied(owner):
-    got = [ask(owner, 1, 1000, 1000, vm=f"v{n}").tokens for n in range(5)]
-    assert got == [1000, 0, 0, 0, 0]
+    granted_tokens = [request_grant(owner, 1, 1000, 1000, vm=f"v{n}").tokens for n in range(5)]
+    assert granted_tokens == [1000, 0, 0, 0, 0]
 
 
-def test_resent_request_gets_the_same_answer_and_spends_once(owner):
-    first = ask(owner, 1, 1000, 1000)
-    again = ask(owner, 1, 1000, 1000)
+def test_resent_request_gets_the_same_reply_and_is_granted_once(owner):
+    first = request_grant(owner, 1, 1000, 1000)
+    again = request_grant(owner, 1, 1000, 1000)
     assert again == first
-    assert ask(owner, 1, 500, 500, vm="v2").tokens == 500
+    assert request_grant(owner, 1, 500, 500, vm="v2").tokens == 500
 
 
 def test_resent_returns_are_credited_once(owner):
-    grant = ask(owner, 1, 1500, 1500)
+    grant = request_grant(owner, 1, 1500, 1500)
     back = [messages.ReturnedTokens(700, grant.issued_us, 1)]
     for _ in range(3):
-        ask(owner, 2, returns=back)
-    assert ask(owner, 1, 1500, vm="v2").tokens == 700
+        request_grant(owner, 2, returns=back)
+    assert request_grant(owner, 1, 1500, vm="v2").tokens == 700
 
 
 def test_overtaken_request_is_refused(owner):
-    ask(owner, 2, 100, 100)
+    request_grant(owner, 2, 100, 100)
     with pytest.raises(messages.Refused, match="stale_request"):
-        ask(owner, 1, 100, 100)
+        request_grant(owner, 1, 100, 100)
 
 
-def test_return_after_the_bucket_was_full_counts_nothing(owner, clock):
-    grant = ask(owner, 1, 500, 500)
+def test_return_after_the_bucket_was_full_credits_nothing(owner, clock):
+    grant = request_grant(owner, 1, 500, 500)
     clock.advance(5)
-    ask(owner, 1, 1500, 1500, vm="v2")
-    ask(owner, 2, returns=[messages.ReturnedTokens(500, grant.issued_us, 1)])
-    assert ask(owner, 2, 1500, vm="v2").tokens == 0
+    request_grant(owner, 1, 1500, 1500, vm="v2")
+    request_grant(owner, 2, returns=[messages.ReturnedTokens(500, grant.issued_us, 1)])
+    assert request_grant(owner, 2, 1500, vm="v2").tokens == 0
 
 
 def test_returns_of_an_earlier_epoch_are_not_credited(owner, clock):
-    grant = ask(owner, 1, 1500, 1500)
-    ask(owner, 1, returns=[messages.ReturnedTokens(1500, grant.issued_us, 1)], epoch=2)
-    assert ask(owner, 2, 1500, epoch=2).tokens == 0
+    grant = request_grant(owner, 1, 1500, 1500)
+    request_grant(owner, 1, returns=[messages.ReturnedTokens(1500, grant.issued_us, 1)], epoch=2)
+    assert request_grant(owner, 2, 1500, epoch=2).tokens == 0
 
 
 def test_new_epoch_waits_for_the_grants_of_the_last_leader(owner, clock):
-    ask(owner, 1, 1500, 1500)
-    assert ask(owner, 1, 10, epoch=2).tokens == 0
+    request_grant(owner, 1, 1500, 1500)
+    assert request_grant(owner, 1, 10, epoch=2).tokens == 0
     clock.advance(1.2)
-    assert ask(owner, 2, 10, epoch=2).tokens == pytest.approx(0, abs=0.01)
+    assert request_grant(owner, 2, 10, epoch=2).tokens == pytest.approx(0, abs=0.01)
     clock.advance(0.1)
-    assert ask(owner, 3, 1000, epoch=2).tokens == pytest.approx(100)
+    assert request_grant(owner, 3, 1000, epoch=2).tokens == pytest.approx(100)
 
 
 def test_small_charges_of_other_vms_do_not_starve_a_large_one(owner, clock):
-    ask(owner, 1, 1500, 1500, vm="small")
+    request_grant(owner, 1, 1500, 1500, vm="small")
     sequence = 1
     for _ in range(32):
         clock.advance(0.05)
         sequence += 1
-        if ask(owner, sequence, 1400, 1400, vm="large").tokens:
+        if request_grant(owner, sequence, 1400, 1400, vm="large").tokens:
             break
-        ask(owner, sequence, 50, 50, vm="small")
+        request_grant(owner, sequence, 50, 50, vm="small")
     assert sequence < 32
 
 
@@ -116,7 +116,7 @@
     owner.enter_epoch(1)
     clock.advance(10)
     limits["a"] = Limits(1000.0, 400.0)
-    assert ask(owner, 1, 5000).tokens == pytest.approx(limits["a"].capacity)
+    assert request_grant(owner, 1, 5000).tokens == pytest.approx(limits["a"].capacity)
 
 
 def test_removed_workspace_gets_no_second_burst(clock):
@@ -124,8 +124,8 @@
     owner = GrantOwner(limits.get, clock)
     owner.enter_epoch(1)
     clock.advance(10)
-    ask(owner, 1, 1500)
+    request_grant(owner, 1, 1500)
     del limits["a"]
-    ask(owner, 2, 1500)
+    request_grant(owner, 2, 1500)
     limits["a"] = LIMITS
-    assert ask(owner, 3, 1500).tokens == 0
+    assert request_grant(owner, 3, 1500).tokens == 0
