--- a/libs/arbutusrill_limits/_bucket.py
+++ b/libs/arbutusrill_limits/_bucket.py
@@ -83,7 +83,7 @@
         self.excess += tokens
         bound = self._limits.capacity
         if self.excess > bound * (1 + _RELATIVE_TOLERANCE):
-            raise GrantBoundError(f"granted {self.excess:.3f} tokens above the rate, the bound is {bound:.3f} tokens")
+            raise GrantBoundError(f"granted {self.excess:.3f} tokens above the rate, the bound is {bound:.3f}")
 
     def subtract_credit(self, tokens: float, at: float) -> None:
         """Subtracts returned tokens, which count as never granted."""
--- a/libs/arbutusrill_state/__init__.py
+++ b/libs/arbutusrill_state/__init__.py
@@ -1,4 +1,4 @@
-"""The shared state of a site: configuration, journal and the commands that change them."""
+"""Replicated state of a site: the configuration, the journal of once-only calls and the commands that change them."""
 
 from ._checks import FEATURE_LEVEL, UnsupportedLevelError
 from ._client import ControlClient, ControlUnavailableError
--- a/libs/arbutusrill_state/_checks.py
+++ b/libs/arbutusrill_state/_checks.py
@@ -1,4 +1,4 @@
-"""Checks of changes before the state machine carries them out. Every replica decides the same."""
+"""Deterministic validation of changes before the state machine applies them."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     "check_order",
 ]
 
-FEATURE_LEVEL = 2  # highest level of which this version knows all kinds of changes
+FEATURE_LEVEL = 2  # highest level at which this version supports every kind of change
 MAX_ORDERS = 1000
 ENDED_ORDER_STATES = ("done", "failed", "withdrawn")
 
-_LEVEL_BY_KIND = {"forget_vm": 2}  # kinds that replicas of an older version do not know
-_MAX_NAME = 128  # characters
-_MAX_REASON = 1000
-_MAX_REQUEST_ID = 250
+_MIN_LEVEL_BY_KIND = {"forget_vm": 2}  # kinds that replicas of older versions do not support
+_MAX_NAME_CHARACTERS = 128  # characters
+_MAX_TEXT_CHARACTERS = 1000
+_MAX_REQUEST_ID_CHARACTERS = 250
 _MAX_ROUTES = 100
-_MAX_ARGUMENT = 2000
+_MAX_ARGUMENT_CHARACTERS = 2000
 _METHODS = ("*", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 _ORDER_ACTIONS = ("load_model", "load_adapter", "load_version", "unload", "set_role", "drain", "resume")
-# An order that is under way may be taken over by a new owner of the pool, which keeps its state.
+# An order in progress may be taken over by a new owner of the pool, which leaves its state unchanged.
 _NEXT_ORDER_STATES = {
     "": ("requested",),
     "requested": ("released", "failed", "withdrawn"),
@@ -42,7 +42,7 @@
 
 
 class RejectedError(Exception):
-    """A change that the state machine does not accept; it leaves the state as it was."""
+    """Raised when the state machine rejects a change; the state is unchanged."""
 
     def __init__(self, code: str, message: str):
         super().__init__(message)
@@ -50,28 +50,28 @@
 
 
 class UnsupportedLevelError(Exception):
-    """The group has moved to a feature level that this version does not know: the replica must not go on."""
+    """Raised when the group moves to a feature level that this version does not support; the replica must stop."""
 
 
-def check_envelope(made: Any) -> str | None:
-    """Returns what is wrong with the fields that every `Command` has, or None."""
-    if not 0 < len(made.request_id or "") <= _MAX_REQUEST_ID:
-        return f"a request id has 1 to {_MAX_REQUEST_ID} characters"
-    if len(made.actor or "") > _MAX_NAME or made.at_ms is None:
-        return f"a command needs a time and an actor of at most {_MAX_NAME} characters"
+def check_envelope(command: Any) -> str | None:
+    """Returns the problem with the fields common to every `Command`, or None."""
+    if not 0 < len(command.request_id or "") <= _MAX_REQUEST_ID_CHARACTERS:
+        return f"a request id has 1 to {_MAX_REQUEST_ID_CHARACTERS} characters"
+    if len(command.actor or "") > _MAX_NAME_CHARACTERS or command.at_ms is None:
+        return f"a command needs a time and an actor of at most {_MAX_NAME_CHARACTERS} characters"
     return None
 
 
 def check_change(kind: str, change: Any, feature_level: int) -> None:
-    """Checks lengths and forms of the fields of one change; raises `RejectedError`."""
-    needed = _LEVEL_BY_KIND.get(kind, 1)
-    if feature_level < needed:
-        raise RejectedError("feature_level", f"{kind} needs feature level {needed}, the group is at {feature_level}")
+    """Checks the fields of one change; raises `RejectedError`, or `UnsupportedLevelError` for a newer feature level."""
+    min_level = _MIN_LEVEL_BY_KIND.get(kind, 1)
+    if feature_level < min_level:
+        raise RejectedError("feature_level", f"{kind} needs feature level {min_level}, the group is at {feature_level}")
     for field in _NAMED_FIELDS:
         if hasattr(change, field):
             _check_name(kind, field, getattr(change, field))
     if kind == "add_exception":
-        _check_text("reason", change.reason, _MAX_REASON)
+        _check_text("reason", change.reason, _MAX_TEXT_CHARACTERS)
         if not change.reason.strip():
             raise RejectedError("bad_value", "an exception needs a reason")
     elif kind == "issue_key" and len(change.key_hash or "") != 64:
@@ -87,14 +87,14 @@
         if (kind, field) in _MAY_BE_EMPTY:
             return
         raise RejectedError("bad_value", f"{field} must not be empty")
-    _check_text(field, value, _MAX_NAME)
+    _check_text(field, value, _MAX_NAME_CHARACTERS)
     if not value.isprintable():
         raise RejectedError("bad_value", f"{field} must not have control characters")
 
 
-def _check_text(field: str, value: str | None, longest: int) -> None:
-    if value is None or len(value) > longest:
-        raise RejectedError("bad_value", f"{field} must have at most {longest} characters")
+def _check_text(field: str, value: str | None, max_characters: int) -> None:
+    if value is None or len(value) > max_characters:
+        raise RejectedError("bad_value", f"{field} must have at most {max_characters} characters")
 
 
 def _check_routes(change: Any) -> None:
@@ -103,30 +103,34 @@
     if change.routes is None or len(change.routes) > _MAX_ROUTES:
         raise RejectedError("bad_value", f"a service has at most {_MAX_ROUTES} routes")
     for route in change.routes:
-        _check_text("prefix", route.prefix, _MAX_REASON)
+        _check_text("prefix", route.prefix, _MAX_TEXT_CHARACTERS)
         if not route.prefix.startswith("/"):
             raise RejectedError("bad_value", f"route prefix {route.prefix!r} must start with a slash")
         if route.method not in _METHODS:
             raise RejectedError("bad_value", f"route method {route.method[:20]!r} must be one of {', '.join(_METHODS)}")
 
 
-def check_order(known: Any | None, change: Any) -> None:
-    """Checks that an order is well formed and follows its recorded state; raises `RejectedError`."""
+def check_order(recorded: Any | None, change: Any) -> None:
+    """Checks an order's fields and its transition from the recorded state; raises `RejectedError`."""
     if change.action not in _ORDER_ACTIONS:
         raise RejectedError("bad_value", f"action must be one of {', '.join(_ORDER_ACTIONS)}")
-    _check_text("argument", change.argument_json, _MAX_ARGUMENT)
-    _check_text("detail", change.detail, _MAX_REASON)
+    _check_text("argument", change.argument_json, _MAX_ARGUMENT_CHARACTERS)
+    _check_text("detail", change.detail, _MAX_TEXT_CHARACTERS)
     try:
         argument = json.loads(change.argument_json)
     except (ValueError, RecursionError):
         argument = None
     if not isinstance(argument, dict):
         raise RejectedError("bad_value", "the argument of an order must be a JSON object")
-    state = "" if known is None else known.state
+    state = "" if recorded is None else recorded.state
     if change.state not in _NEXT_ORDER_STATES.get(state, ()):
         raise RejectedError("conflict", f"order {change.id} cannot go from {state or 'nothing'!r} to {change.state!r}")
-    if known is not None:
-        if (known.server, known.action, known.argument_json) != (change.server, change.action, change.argument_json):
+    if recorded is not None:
+        if (recorded.server, recorded.action, recorded.argument_json) != (
+            change.server,
+            change.action,
+            change.argument_json,
+        ):
             raise RejectedError("conflict", f"order {change.id} is for something else")
-        if change.fencing < known.fencing:
-            raise RejectedError("conflict", f"order {change.id} has fencing number {known.fencing} already")
+        if change.fencing < recorded.fencing:
+            raise RejectedError("conflict", f"order {change.id} has fencing number {recorded.fencing} already")
--- a/libs/arbutusrill_state/_client.py
+++ b/libs/arbutusrill_state/_client.py
@@ -1,4 +1,4 @@
-"""Client of the control group that finds the leader by itself."""
+"""RPC client of the control group that locates the leader."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 __all__ = ["ControlClient", "ControlUnavailableError"]
 
-_FIRST_PAUSE_S = 0.02  # after a try that failed
-_LONGEST_PAUSE_S = 0.1
+_MIN_BACKOFF_S = 0.02  # after a failed try
+_MAX_BACKOFF_S = 0.1
 
 
 class ControlUnavailableError(Exception):
-    """No control VM answered as leader in time.
+    """Raised when no control VM replied as leader before the timeout.
 
-    `sent` is False when the call certainly was not carried out.
+    `sent` is False if the call was certainly not carried out.
     """
 
     def __init__(self, message: str, sent: bool):
@@ -27,18 +27,18 @@
 
 
 class ControlClient:
-    """Calls the control group's leader, following hints and trying the other control VMs.
+    """Calls methods of the control group's leader, following leader hints and trying the other control VMs.
 
-    `service` is the service of the IDL whose methods are called; its calls refuse with ``not_leader`` on other VMs.
-    A call may be sent more than once, so that only calls that the group recognises by their request id, or
-    that change nothing, belong here.
+    `service` is the service of the IDL whose methods are called; VMs that are not the leader refuse its calls with
+    ``not_leader``. A call may be sent more than once, so only idempotent calls are allowed: those that the group
+    deduplicates by request id and those that change nothing.
     """
 
     def __init__(self, addresses: list[str], service: Any = messages.Control):
         self._service = service
         self._lock = threading.Lock()
         self._client_by_address = {address: RpcClient(address) for address in addresses}
-        self._order = list(addresses)
+        self._addresses = list(addresses)
 
     def __enter__(self) -> ControlClient:
         return self
@@ -48,61 +48,61 @@
             client.close()
 
     def call(self, name: str, *arguments: Any, timeout: float, try_timeout: float = 1.5) -> Any:
-        """Calls method `name` of the leader within `timeout` seconds; one try takes at most `try_timeout`.
+        """Calls method `name` of the leader within `timeout` seconds; one try takes at most `try_timeout` seconds.
 
-        Raises `messages.Refused` for a refusal by the leader and `ControlUnavailableError`.
+        Raises `messages.Refused` if the leader refuses the call and `ControlUnavailableError` after `timeout`.
         """
         deadline = time.monotonic() + timeout
         sent = False
-        problem = "no control VM is configured"
+        cause = "no control VM is configured"
         attempt = 0
         while (remaining := deadline - time.monotonic()) > 0:
             attempt += 1
-            address, client = self._first()
+            address, client = self._preferred_client()
             try:
                 return client.call(self._service, name, *arguments, timeout=min(remaining, try_timeout))
             except messages.Refused as refused:
                 if refused.code not in ("not_leader", "unavailable"):
                     raise
                 sent = sent or refused.verdict != messages.Verdict.NOT_RUN
-                problem = f"{address}: {refused.message}"
+                cause = f"{address}: {refused.message}"
                 self._demote(address, refused.leader)
                 if refused.leader and refused.leader != address:
                     continue
             except RpcError as error:
                 sent = sent or not isinstance(error, NotSentError)
-                problem = str(error)
+                cause = str(error)
                 self._demote(address, "")
-            time.sleep(min(backoff_s(attempt, _FIRST_PAUSE_S, _LONGEST_PAUSE_S), max(0.0, deadline - time.monotonic())))
-        raise ControlUnavailableError(f"the control group does not answer ({problem})", sent)
+            time.sleep(min(backoff_s(attempt, _MIN_BACKOFF_S, _MAX_BACKOFF_S), max(0.0, deadline - time.monotonic())))
+        raise ControlUnavailableError(f"the control group does not answer ({cause})", sent)
 
     def learn(self, addresses: list[str]) -> None:
-        """Replaces the control VMs that are tried; calls under way go on. An empty list changes nothing."""
+        """Replaces the addresses of the control VMs. An empty list changes nothing; calls in progress continue."""
         addresses = list(dict.fromkeys(addresses))
         with self._lock:
-            if not addresses or set(addresses) == set(self._order):
+            if not addresses or set(addresses) == set(self._addresses):
                 return
-            dropped = [self._client_by_address.pop(old) for old in self._order if old not in addresses]
+            dropped = [self._client_by_address.pop(address) for address in self._addresses if address not in addresses]
             for address in addresses:
                 if address not in self._client_by_address:
                     self._client_by_address[address] = RpcClient(address)
-            kept = [old for old in self._order if old in addresses]
-            self._order = kept + [address for address in addresses if address not in kept]
+            kept = [address for address in self._addresses if address in addresses]
+            self._addresses = kept + [address for address in addresses if address not in kept]
         for client in dropped:
             client.close()
 
-    def _first(self) -> tuple[str, RpcClient]:
+    def _preferred_client(self) -> tuple[str, RpcClient]:
         with self._lock:
-            address = self._order[0]
+            address = self._addresses[0]
             return address, self._client_by_address[address]
 
-    def _demote(self, address: str, better: str) -> None:
+    def _demote(self, address: str, leader: str) -> None:
         with self._lock:
-            if self._order[0] == address:
-                self._order.append(self._order.pop(0))
-            if better and better not in self._client_by_address:
-                self._client_by_address[better] = RpcClient(better)
-                self._order.append(better)
-            if better in self._client_by_address:
-                self._order.remove(better)
-                self._order.insert(0, better)
+            if self._addresses[0] == address:
+                self._addresses.append(self._addresses.pop(0))
+            if leader and leader not in self._client_by_address:
+                self._client_by_address[leader] = RpcClient(leader)
+                self._addresses.append(leader)
+            if leader in self._client_by_address:
+                self._addresses.remove(leader)
+                self._addresses.insert(0, leader)
--- a/libs/arbutusrill_state/_config.py
+++ b/libs/arbutusrill_state/_config.py
@@ -1,4 +1,4 @@
-"""The replicated configuration: a deterministic state machine with a revision."""
+"""The replicated configuration as a deterministic state machine with a revision number."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 __all__ = ["ConfigState"]
 
-_KEPT_FIRST_ANSWERS = 10_000  # five days at the target of 2,000 changes a day
+_MAX_FIRST_ANSWERS = 10_000  # five days at the target of 2,000 changes per day
 
 
 class ConfigState:
-    """Defaults, exceptions, workspaces, keys, services, VMs, pools and orders.
+    """State machine of defaults, exceptions, workspaces, keys, services, VMs, pools and orders.
 
-    The same commands in the same order give the same state on every replica: nothing here reads a clock
-    or draws a random number. Readers on other threads see each change as a whole.
+    The same commands in the same order give the same state on every replica, because nothing here reads a clock or
+    uses random numbers. Readers on other threads see each change atomically.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self.clock_ms = 0
         self.defaults_by_name: dict[str, str] = {}
         self.exceptions_by_id: dict[str, Any] = {}
-        # Identifiers by (default, scope kind, scope name), oldest first; a dict serves as an ordered set.
+        # Ids by (default, scope kind, scope name), oldest first; the inner dict is an ordered set.
         self._exception_ids_by_scope: dict[tuple[str, str, str], dict[str, None]] = {}
         self.workspaces_by_name: dict[str, Any] = {}
         self.keys_by_hash: dict[str, Any] = {}
@@ -45,42 +45,40 @@
         self.orders_by_id: dict[str, Any] = {}
         self.first_answers_by_id: OrderedDict[str, Any] = OrderedDict()
 
-    # ---- changes
-
-    def apply(self, made: Any) -> Any:
-        """Applies a `Command` and returns its `Outcome`; a resent command gets its first outcome again."""
-        problem = check_envelope(made)
+    def apply(self, command: Any) -> Any:
+        """Applies a `Command` and returns its `Outcome`; a resent command gets its first outcome."""
+        problem = check_envelope(command)
         if problem is not None:
             return messages.Outcome(False, self.revision, "bad_command", problem)
         with self.lock:
-            first = self.first_answers_by_id.get(made.request_id)
-            if first is not None:
-                return first
-            outcome = self._apply_new(made)
-            self.first_answers_by_id[made.request_id] = outcome
-            while len(self.first_answers_by_id) > _KEPT_FIRST_ANSWERS:
+            first_outcome = self.first_answers_by_id.get(command.request_id)
+            if first_outcome is not None:
+                return first_outcome
+            outcome = self._apply_new(command)
+            self.first_answers_by_id[command.request_id] = outcome
+            while len(self.first_answers_by_id) > _MAX_FIRST_ANSWERS:
                 self.first_answers_by_id.popitem(last=False)
             return outcome
 
-    def _apply_new(self, made: Any) -> Any:
-        if made.if_revision >= 0 and made.if_revision != self.revision:
-            message = f"the revision is {self.revision}, not {made.if_revision}; read it again and decide anew"
+    def _apply_new(self, command: Any) -> Any:
+        if command.if_revision >= 0 and command.if_revision != self.revision:
+            message = f"the revision is {self.revision}, not {command.if_revision}; read it again and decide anew"
             return messages.Outcome(False, self.revision, "revision_conflict", message)
-        kind, change = change_of(made)
+        kind, change = change_of(command)
         try:
             check_change(kind, change, self.feature_level)
-            getattr(self, f"_{kind}")(change, made)
+            getattr(self, f"_{kind}")(change, command)
         except RejectedError as rejected:
             return messages.Outcome(False, self.revision, rejected.code, str(rejected))
-        self.clock_ms = max(self.clock_ms, made.at_ms)
+        self.clock_ms = max(self.clock_ms, command.at_ms)
         self.revision += 1
         detail = change.key_id.encode() if kind == "issue_key" else None
         return messages.Outcome(True, self.revision, detail=detail)
 
     def _set_default(self, change: Any, _: Any) -> None:
-        checked = parse_value(change.name, change.value_json)
-        if checked.is_error():
-            raise RejectedError("bad_value", checked.error)
+        result = parse_value(change.name, change.value_json)
+        if result.is_error():
+            raise RejectedError("bad_value", result.error)
         self.defaults_by_name[change.name] = change.value_json
 
     def _unset_default(self, change: Any, _: Any) -> None:
@@ -88,10 +86,10 @@
             raise RejectedError("not_found", f"unknown default {change.name!r}")
         self.defaults_by_name.pop(change.name, None)
 
-    def _add_exception(self, change: Any, made: Any) -> None:
-        checked = parse_value(change.default_name, change.value_json)
-        if checked.is_error():
-            raise RejectedError("bad_value", checked.error)
+    def _add_exception(self, change: Any, command: Any) -> None:
+        result = parse_value(change.default_name, change.value_json)
+        if result.is_error():
+            raise RejectedError("bad_value", result.error)
         if change.scope_kind not in SCOPE_KINDS or not change.scope_name:
             raise RejectedError("bad_value", f"the scope must be one of {', '.join(SCOPE_KINDS)} and a name")
         if change.id in self.exceptions_by_id:
@@ -103,12 +101,12 @@
             change.scope_name,
             change.value_json,
             change.reason,
-            made.actor,
-            made.at_ms,
+            command.actor,
+            command.at_ms,
         )
-        self._keep_exception(record)
+        self._store_exception(record)
 
-    def _keep_exception(self, record: Any) -> None:
+    def _store_exception(self, record: Any) -> None:
         self.exceptions_by_id[record.id] = record
         scope = (record.default_name, record.scope_kind, record.scope_name)
         self._exception_ids_by_scope.setdefault(scope, {})[record.id] = None
@@ -123,10 +121,10 @@
             del self._exception_ids_by_scope[scope]
 
     def _put_workspace(self, change: Any, _: Any) -> None:
-        for field, least in (("rate", 0.001), ("burst", 1.0)):
+        for field, minimum in (("rate", 0.001), ("burst", 1.0)):
             value = getattr(change, field)
-            if value != 0 and not least <= value <= MAX_NUMBER:
-                raise RejectedError("bad_value", f"{field} must be from {least:g} to 1e15, or 0 for the default")
+            if value != 0 and not minimum <= value <= MAX_NUMBER:
+                raise RejectedError("bad_value", f"{field} must be from {minimum:g} to 1e15, or 0 for the default")
         if not 1e-3 <= change.weight <= 1e6:
             raise RejectedError("bad_value", "weight must be from 0.001 to 1e6")
         self.workspaces_by_name[change.name] = change
@@ -135,22 +133,22 @@
         if self.workspaces_by_name.pop(change.name, None) is None:
             raise RejectedError("not_found", f"no workspace {change.name}")
 
-    def _issue_key(self, change: Any, made: Any) -> None:
+    def _issue_key(self, change: Any, command: Any) -> None:
         if change.workspace not in self.workspaces_by_name:
             raise RejectedError("not_found", f"no workspace {change.workspace}")
         if change.key_hash in self.keys_by_hash or self._key_by_id(change.key_id) is not None:
             raise RejectedError("conflict", f"key {change.key_id} exists")
         self.keys_by_hash[change.key_hash] = messages.KeyRecord(
-            change.key_id, change.key_hash, change.workspace, made.at_ms
+            change.key_id, change.key_hash, change.workspace, command.at_ms
         )
 
-    def _withdraw_key(self, change: Any, made: Any) -> None:
+    def _withdraw_key(self, change: Any, command: Any) -> None:
         record = self._key_by_id(change.key_id)
         if record is None:
             raise RejectedError("not_found", f"no key {change.key_id}")
         if record.withdrawn_ms == 0:
             self.keys_by_hash[record.key_hash] = messages.KeyRecord(
-                record.key_id, record.key_hash, record.workspace, record.issued_ms, max(1, made.at_ms)
+                record.key_id, record.key_hash, record.workspace, record.issued_ms, max(1, command.at_ms)
             )
 
     def _put_service(self, change: Any, _: Any) -> None:
@@ -182,25 +180,25 @@
         self.pools_by_name[change.name] = messages.AssignPool(change.name, current.kind, "", 0, current.epoch + 1)
 
     def _forget_vm(self, change: Any, _: Any) -> None:
-        known = self.vms_by_id.get(change.id)
-        if known is None or known.state != "dead" or known.incarnation != change.incarnation:
+        recorded = self.vms_by_id.get(change.id)
+        if recorded is None or recorded.state != "dead" or recorded.incarnation != change.incarnation:
             raise RejectedError("conflict", f"VM {change.id} is not dead or runs again")
         del self.vms_by_id[change.id]
 
-    def _put_order(self, change: Any, made: Any) -> None:
+    def _put_order(self, change: Any, command: Any) -> None:
         check_order(self.orders_by_id.get(change.id), change)
         if change.id not in self.orders_by_id and len(self.orders_by_id) >= MAX_ORDERS:
-            ended = next((key for key, row in self.orders_by_id.items() if self._may_drop(row)), None)
+            ended = next((key for key, row in self.orders_by_id.items() if self._is_droppable(row)), None)
             if ended is None:
                 raise RejectedError("too_many", f"{MAX_ORDERS} orders are under way")
             del self.orders_by_id[ended]
-        # The newest change last, so that ended orders are dropped in the order of their ends.
+        # Kept in order of the last change, so that orders that ended first are dropped first.
         self.orders_by_id.pop(change.id, None)
         fields = {name: value for name, value in vars(change).items() if name != "at_ms"}
-        self.orders_by_id[change.id] = messages.PutOrder(**fields, at_ms=max(self.clock_ms, made.at_ms))
+        self.orders_by_id[change.id] = messages.PutOrder(**fields, at_ms=max(self.clock_ms, command.at_ms))
 
-    def _may_drop(self, order: Any) -> bool:
-        """Says whether an order can be forgotten: it has ended, and drains no server."""
+    def _is_droppable(self, order: Any) -> bool:
+        """Returns whether an order can be dropped: it has ended and does not keep a server drained."""
         if order.state not in ENDED_ORDER_STATES:
             return False
         if order.action != "drain" or order.state != "done":
@@ -215,13 +213,11 @@
             raise RejectedError("bad_value", f"the feature level is {self.feature_level} and never goes back")
         self.feature_level = change.level
 
-    # ---- reading
-
     def _key_by_id(self, key_id: str) -> Any | None:
         return next((record for record in self.keys_by_hash.values() if record.key_id == key_id), None)
 
     def workspace_of_key(self, key_hash: str) -> str | None:
-        """Returns the workspace that a key gives access to, or None for an unknown or withdrawn key."""
+        """Returns the workspace to which a key gives access, or None for an unknown or withdrawn key."""
         with self.lock:
             record = self.keys_by_hash.get(key_hash)
             if record is None or record.withdrawn_ms or record.workspace not in self.workspaces_by_name:
@@ -229,9 +225,9 @@
             return record.workspace
 
     def exception_for(self, name: str, **scope: str) -> Any | None:
-        """Returns the exception record that decides the default `name` in a scope, or None without any.
+        """Returns the exception record that overrides the default `name` in a scope, or None.
 
-        The most specific matching exception wins, in the order of `SCOPE_KINDS`; of two, the later one.
+        Scope kinds take precedence in the order of `SCOPE_KINDS`; within one scope, the latest exception does.
         """
         with self.lock:
             for kind in SCOPE_KINDS:
@@ -241,7 +237,7 @@
         return None
 
     def value(self, name: str, **scope: str) -> Any:
-        """Returns the value of a default in a scope such as ``workspace="a", model="m"``."""
+        """Returns the effective value of a default in a scope such as ``workspace="a", model="m"``."""
         with self.lock:
             record = self.exception_for(name, **scope)
             text = record.value_json if record is not None else self.defaults_by_name.get(name)
@@ -249,25 +245,25 @@
         return spec.initial if text is None else spec.kind(json.loads(text))
 
     def limits_of(self, workspace: str) -> tuple[float, float] | None:
-        """Returns rate (tokens/s) and burst (tokens) of a workspace, None for an unknown one.
+        """Returns rate (tokens/s) and burst (tokens) of a workspace, or None if it is unknown.
 
-        An exception for the workspace wins over its own values; a value of 0 stands for the default.
+        An exception for the workspace overrides the workspace's own values; an own value of 0 means the default.
         """
         with self.lock:
             record = self.workspaces_by_name.get(workspace)
             if record is None:
                 return None
-            numbers = []
+            values = []
             for name, own in (("limits.rate", record.rate), ("limits.burst", record.burst)):
                 has_exception = self.exception_for(name, workspace=workspace) is not None
-                numbers.append(own if own > 0 and not has_exception else self.value(name, workspace=workspace))
-            return numbers[0], numbers[1]
+                values.append(own if own > 0 and not has_exception else self.value(name, workspace=workspace))
+            return values[0], values[1]
 
     def share_weight(self, workspace: str) -> float:
         """Returns a workspace's weight in fair sharing: its own weight times its rate in tokens/s.
 
-        With equal weights, workspaces inside their rates would get the same amount at a peak however different their
-        rates are, and the largest would be refused most.
+        Without the rate, workspaces within their rates would get equal shares at a peak however different the rates
+        are, and the largest workspace would be refused most. An unknown workspace has the default rate as its weight.
         """
         with self.lock:
             limits = self.limits_of(workspace)
@@ -276,7 +272,7 @@
             return self.workspaces_by_name[workspace].weight * limits[0]
 
     def snapshot(self, with_first_answers: bool = True) -> Any:
-        """Returns the whole state as a `ConfigSnapshot`."""
+        """Returns the state as a `ConfigSnapshot`."""
         with self.lock:
             answers = []
             if with_first_answers:
@@ -297,7 +293,7 @@
             )
 
     def restore(self, snapshot: Any) -> None:
-        """Replaces the whole state by a snapshot."""
+        """Replaces the state by a snapshot."""
         with self.lock:
             self._clear()
             self.revision = snapshot.revision
@@ -305,7 +301,7 @@
             self.clock_ms = snapshot.clock_ms
             self.defaults_by_name.update(snapshot.defaults or {})
             for record in snapshot.exceptions:
-                self._keep_exception(record)
+                self._store_exception(record)
             self.workspaces_by_name.update((record.name, record) for record in snapshot.workspaces)
             self.keys_by_hash.update((record.key_hash, record) for record in snapshot.keys)
             self.services_by_name.update((record.name, record) for record in snapshot.services)
--- a/libs/arbutusrill_state/_defaults.py
+++ b/libs/arbutusrill_state/_defaults.py
@@ -1,4 +1,4 @@
-"""The defaults that operators can change, their types and their initial values."""
+"""Defaults that operators can change, with their types, initial values and ranges."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 __all__ = ["DEFAULT_SPEC_BY_NAME", "SCOPE_KINDS", "DefaultSpec", "parse_value"]
 
-MAX_NUMBER = 1e15  # sums of floats up to here keep a precision of one token
-_MAX_JSON = 1000  # characters of a value
+MAX_NUMBER = 1e15  # sums of floats up to this value are exact to one token
+_MAX_JSON_CHARACTERS = 1000
 SCOPE_KINDS = ("workspace", "model", "service", "data_centre")
 
 
@@ -60,7 +60,7 @@
 
 
 def parse_value(name: str, value_json: str) -> Result[Any, str]:
-    """Returns the value of the default `name` that `value_json` stands for, or what is wrong with it.
+    """Parses and checks a JSON value for the default `name`; returns the value or an error message.
 
     >>> parse_value("limits.rate", "3").ok
     3.0
@@ -72,10 +72,10 @@
     spec = DEFAULT_SPEC_BY_NAME.get(name)
     if spec is None:
         return Error(f"unknown default {str(name)[:80]!r}")
-    if len(value_json) > _MAX_JSON:
+    if len(value_json) > _MAX_JSON_CHARACTERS:
         return Error(f"{name} must be shorter")
     try:
-        value = json.loads(value_json, parse_constant=_refuse_constant)
+        value = json.loads(value_json, parse_constant=_reject_constant)
     except (ValueError, RecursionError):
         return Error(f"{name} must be a JSON value without NaN and infinities")
     if spec.kind is float and type(value) is int and abs(value) <= MAX_NUMBER:
@@ -91,5 +91,5 @@
     return Ok(value)
 
 
-def _refuse_constant(name: str) -> float:
+def _reject_constant(name: str) -> float:
     raise ValueError(f"{name} is not a number")
--- a/libs/arbutusrill_state/_departures.py
+++ b/libs/arbutusrill_state/_departures.py
@@ -1,4 +1,4 @@
-"""Backend servers that have said that they leave."""
+"""Recorded departures of backend servers."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 __all__ = ["Departures"]
 
-_KEPT = 1000  # latest departures; a server that left before them has long ended
+_MAX_DEPARTURES = 1000  # the latest ones; servers that departed earlier have terminated by now
 
 
 class Departures:
-    """The last word of each backend server that leaves, kept in the log so that no change of leader forgets it.
+    """Latest departure of each backend server, part of the replicated state so that it survives a change of leader.
 
     >>> from arbutusrill_wire import messages
     >>> departures = Departures()
@@ -26,22 +26,22 @@
         self._record_by_id: OrderedDict[str, Any] = OrderedDict()
 
     def put(self, record: Any) -> None:
-        """Takes a departure; an older one of the same server changes nothing."""
+        """Records a departure unless a newer one of the same server is recorded."""
         with self._lock:
-            known = self._record_by_id.get(record.id)
-            if known is None or (record.started_ms, record.sequence) > (known.started_ms, known.sequence):
+            recorded = self._record_by_id.get(record.id)
+            if recorded is None or (record.started_ms, record.sequence) > (recorded.started_ms, recorded.sequence):
                 self._record_by_id[record.id] = record
                 self._record_by_id.move_to_end(record.id)
-            while len(self._record_by_id) > _KEPT:
+            while len(self._record_by_id) > _MAX_DEPARTURES:
                 self._record_by_id.popitem(last=False)
 
     def covers(self, backend: str, started_ms: int, sequence: int) -> bool:
-        """Says whether an announcement is from before the server's departure."""
+        """Returns whether an announcement is older than the server's recorded departure or equal to it."""
         with self._lock:
-            known = self._record_by_id.get(backend)
-            return known is not None and (started_ms, sequence) <= (known.started_ms, known.sequence)
+            recorded = self._record_by_id.get(backend)
+            return recorded is not None and (started_ms, sequence) <= (recorded.started_ms, recorded.sequence)
 
     def records(self) -> list[Any]:
-        """Returns all departures that are kept."""
+        """Returns all recorded departures."""
         with self._lock:
             return list(self._record_by_id.values())
--- a/libs/arbutusrill_state/_document.py
+++ b/libs/arbutusrill_state/_document.py
@@ -1,4 +1,4 @@
-"""A whole configuration as one versioned document."""
+"""The configuration as a single versioned document."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class Document:
-    """The document with the highest version so far; version 0 stands for none.
+    """Holds the document with the highest version; version 0 means no document.
 
-    Other content under the held version, and an older version, change nothing.
+    A document with the held version or a lower one is ignored.
 
     >>> document = Document()
     >>> document.put(7, b"first"), document.put(7, b"other"), document.put(3, b"older")
@@ -30,7 +30,7 @@
         return self._version
 
     def put(self, version: int, body: bytes) -> int:
-        """Takes a document with a higher version than the held one; returns the version then held."""
+        """Replaces the document if `version` is higher; returns the version held afterwards."""
         with self._lock:
             if version > self._version:
                 self._version, self._body = version, body
--- a/libs/arbutusrill_state/_follower.py
+++ b/libs/arbutusrill_state/_follower.py
@@ -1,4 +1,4 @@
-"""Follower of the configuration on an entry VM: pushed changes, freshness and the VM's lease."""
+"""Follower of the configuration on an entry VM, with the state's freshness and the VM's lease."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 __all__ = ["Follower", "VmIdentity"]
 
-FRESH_S = 3.0  # a state not confirmed for this long may miss a withdrawn key
-WAIT_MS = 400  # long poll; also the heartbeat of the VM's lease
+MAX_FRESH_AGE_S = 3.0  # an older state may lack the withdrawal of a key
+POLL_WAIT_MS = 400  # of the long poll, which is also the heartbeat of the VM's lease
 _log = PartLog("follower")
 
 
@@ -32,7 +32,7 @@
 
 
 class Follower:
-    """Keeps `config` up to date and knows how fresh it is. Times are on the monotonic clock."""
+    """Keeps `config` up to date and tracks when it was last confirmed. Times are on the monotonic clock."""
 
     def __init__(self, identity: VmIdentity, control: ControlClient, clock: Clock):
         self.identity = identity
@@ -43,10 +43,10 @@
         self._lease_until = float("-inf")
         self._draining = False
         self._listeners: list[Callable[[], None]] = []
-        self._first = threading.Event()
+        self._first_confirmed = threading.Event()
 
     def start(self, tasks: TaskGroup) -> None:
-        """Follows the control group until `tasks` stops."""
+        """Starts a thread that follows the control group until `tasks` stops."""
         tasks.start(self._run, tasks)
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -54,23 +54,23 @@
         self._listeners.append(listener)
 
     def wait_first(self, timeout: float) -> bool:
-        """Waits until a first confirmed state is there."""
-        return self._first.wait(timeout)
+        """Waits up to `timeout` seconds for the first confirmed state; returns whether there is one."""
+        return self._first_confirmed.wait(timeout)
 
     def fresh(self) -> bool:
-        """Says whether the state was confirmed by a quorum in the last `FRESH_S` seconds."""
-        return self._clock.monotonic() - self._confirmed_at < FRESH_S
+        """Returns whether the state was confirmed by a quorum in the last `MAX_FRESH_AGE_S` seconds."""
+        return self._clock.monotonic() - self._confirmed_at < MAX_FRESH_AGE_S
 
     def age_s(self) -> float:
-        """Returns how long ago the last confirmed poll was sent, in seconds; infinite before the first."""
+        """Returns the seconds since the last confirmed poll was sent; infinite before the first."""
         return self._clock.monotonic() - self._confirmed_at
 
     def holds_lease(self) -> bool:
-        """Says whether this VM's lease is still running, so that it may act as an owner."""
+        """Returns whether this VM's lease is valid, so that it may act as a pool owner."""
         return self._clock.monotonic() < self._lease_until
 
     def drain(self) -> None:
-        """Announces from the next poll on that this VM takes no new callers."""
+        """Reports this VM as draining from the next poll on, so that it gets no new callers."""
         self._draining = True
 
     def _run(self, tasks: TaskGroup) -> None:
@@ -78,24 +78,24 @@
             try:
                 self.poll()
             except ControlUnavailableError as error:
-                _log.warning("state not confirmed: %s", error)
+                _log.warning("configuration not confirmed by the control group: %s", error)
             except messages.Refused as refused:
-                _log.warning("control group refused to be followed: %s", refused.message)
+                _log.warning("control group refused the follow request: %s", refused.message)
                 tasks.stopping.wait(0.2)
             except Exception:
                 _log.exception("following the control group failed")
                 tasks.stopping.wait(0.5)
 
-    def poll(self, wait_ms: int = WAIT_MS) -> None:
-        """Asks once for changes and applies them."""
-        me = self.identity
+    def poll(self, wait_ms: int = POLL_WAIT_MS) -> None:
+        """Requests changes once with a long poll of at most `wait_ms` and applies them."""
+        identity = self.identity
         state = "draining" if self._draining else "live"
         request = messages.FollowRequest(
-            me.vm,
-            me.incarnation,
-            me.http_address,
-            me.rpc_address,
-            me.data_centre,
+            identity.vm,
+            identity.incarnation,
+            identity.http_address,
+            identity.rpc_address,
+            identity.data_centre,
             state,
             self.config.revision,
             wait_ms,
@@ -104,43 +104,49 @@
         reply = self._control.call("follow", request, timeout=2.0, try_timeout=1.0 + wait_ms / 1000)
         changed = self._apply(reply)
         if reply.confirmed_revision < request.revision:
-            # Only a group that has lost its disks can answer so; its keys may differ from the ones known here.
-            _log.error("the control group is at revision %d, behind %d", reply.confirmed_revision, request.revision)
+            # Happens only if the group has lost its disks; its keys may differ from those in `config`.
+            _log.error(
+                "the control group is at revision %d, behind revision %d of this follower",
+                reply.confirmed_revision,
+                request.revision,
+            )
         elif self.config.revision >= reply.confirmed_revision:
             self._confirmed_at = max(self._confirmed_at, sent_at)
             self._lease_until = max(self._lease_until, sent_at + reply.lease_ms / 1000)
-            self._first.set()
+            self._first_confirmed.set()
         if changed:
             for listener in self._listeners:
                 listener()
 
     def release_pools(self, timeout: float) -> bool:
-        """Proposes the release of every pool that this run of the VM owns; returns whether none is left.
+        """Proposes the release of every pool that this incarnation of the VM owns; returns whether none is left.
 
-        To be called by a draining VM after it has stopped giving out slots. Once the release is in the log,
-        another VM owns the pool, even if the answer was lost. `timeout` is in seconds, for each pool.
+        Must be called only after a draining VM has stopped assigning slots: once the release is in the log, another VM
+        may own the pool, even if the reply was lost. `timeout` is in seconds per pool.
         """
-        me = self.identity
-        done = True
+        identity = self.identity
+        all_released = True
         for pool in list(self.config.pools_by_name.values()):
-            if pool.owner != me.vm or pool.owner_incarnation != me.incarnation:
+            if pool.owner != identity.vm or pool.owner_incarnation != identity.incarnation:
                 continue
-            made = command(messages.ReleasePool(pool.name, me.vm, pool.epoch), me.vm, self._clock.wall_ms())
+            proposal = command(
+                messages.ReleasePool(pool.name, identity.vm, pool.epoch), identity.vm, self._clock.wall_ms()
+            )
             try:
-                outcome = self._control.call("propose", made, timeout=timeout)
-                done = done and (outcome.accepted or outcome.code == "conflict")
+                outcome = self._control.call("propose", proposal, timeout=timeout)
+                all_released = all_released and (outcome.accepted or outcome.code == "conflict")
             except (ControlUnavailableError, messages.Refused) as error:
                 _log.warning("pool %s not released: %s", pool.name, error)
-                done = False
-        return done
+                all_released = False
+        return all_released
 
     def _apply(self, reply: object) -> bool:
         before = self.config.revision
         if reply.snapshot is not None and reply.snapshot.revision > before:
             self.config.restore(reply.snapshot)
-        for item in reply.commands or []:
-            if item.revision == self.config.revision + 1:
-                self.config.apply(item.command)
-                assert self.config.revision == item.revision, "a change of the log was refused by a follower"
-        assert self.config.revision >= before, "the revision of a follower went back"
+        for revisioned in reply.commands or []:
+            if revisioned.revision == self.config.revision + 1:
+                self.config.apply(revisioned.command)
+                assert self.config.revision == revisioned.revision, "a change of the log was refused by a follower"
+        assert self.config.revision >= before, "the revision of a follower decreased"
         return self.config.revision > before
--- a/libs/arbutusrill_state/_machine.py
+++ b/libs/arbutusrill_state/_machine.py
@@ -1,4 +1,4 @@
-"""State machine of the control group: the configuration, its document form and the journal of once-only calls."""
+"""State machine that the control group replicates: configuration, journal and backend server lists."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 __all__ = ["SharedState"]
 
-MAX_COMMANDS = 200  # per answer to a follower; each holds at most some kilobytes
-_MAX_MESSAGE = 300  # characters
-_KEPT_COMMANDS = 2000  # one day of changes at the target; followers further behind get a snapshot
+MAX_COMMANDS = 200  # per reply to a follower; each takes at most a few kilobytes
+_MAX_MESSAGE_CHARACTERS = 300  # characters
+_MAX_RECENT_COMMANDS = 2000  # one day at the target rate of changes; followers that lag further get a snapshot
 
 
 class SharedState:
-    """What the replicated log is applied to on each control replica.
+    """State machine to which each control replica applies the replicated log.
 
     `apply`, `snapshot` and `restore` are called by one thread at a time, in log order.
     """
@@ -34,21 +34,23 @@
         self.document = Document()
         self.departures = Departures()
         self.roster = Roster()
-        self._recent: deque[Any] = deque(maxlen=_KEPT_COMMANDS)
+        self._recent_commands: deque[Any] = deque(maxlen=_MAX_RECENT_COMMANDS)
 
     def apply(self, data: bytes) -> bytes:
         """Applies one serialised `Command` and returns its serialised `Outcome`."""
         try:
-            made = decode(messages.Command, data)
-            kind, change = change_of(made)
-        except Exception as error:  # thriftpy2 raises many kinds; every replica sees the same bytes
+            command = decode(messages.Command, data)
+            kind, change = change_of(command)
+        except Exception as error:  # thriftpy2 raises many types; every replica fails on the same bytes
             problem = f"not a command that this version knows: {error}"
-            return encode(messages.Outcome(False, self.config.revision, "bad_command", problem[:_MAX_MESSAGE]))
+            return encode(
+                messages.Outcome(False, self.config.revision, "bad_command", problem[:_MAX_MESSAGE_CHARACTERS])
+            )
         if kind.startswith("journal_"):
-            return encode(self.journal.apply(kind, change, made))
+            return encode(self.journal.apply(kind, change, command))
         if kind == "put_document":
-            held = self.document.put(change.version, change.body)
-            return encode(messages.Outcome(held == change.version, held))
+            held_version = self.document.put(change.version, change.body)
+            return encode(messages.Outcome(held_version == change.version, held_version))
         if kind in ("put_departure", "put_backends"):
             if kind == "put_departure":
                 self.departures.put(change)
@@ -57,29 +59,29 @@
             return encode(messages.Outcome(True, self.config.revision))
         with self.config.lock:
             before = self.config.revision
-            outcome = self.config.apply(made)
+            outcome = self.config.apply(command)
             assert self.config.revision in (before, before + 1), "a change moved the revision by more than one"
             if self.config.revision > before:
-                self._recent.append(messages.RevisionedCommand(self.config.revision, made))
+                self._recent_commands.append(messages.RevisionedCommand(self.config.revision, command))
         return encode(outcome)
 
     def commands_after(self, revision: int, limit: int = MAX_COMMANDS) -> tuple[list[Any] | None, int]:
-        """Returns at most `limit` changes after `revision` and the current revision.
+        """Returns at most `limit` commands after `revision`, and the current revision.
 
-        The changes are None when they are no longer kept, and when `revision` is in the future of this replica.
+        The commands are None if they are no longer kept or if `revision` is above the current revision.
         """
         with self.config.lock:
             current = self.config.revision
             missing = current - revision
             if missing == 0:
                 return [], current
-            if missing < 0 or missing > len(self._recent):
+            if missing < 0 or missing > len(self._recent_commands):
                 return None, current
-            start = len(self._recent) - missing
-            return list(itertools.islice(self._recent, start, start + limit)), current
+            start = len(self._recent_commands) - missing
+            return list(itertools.islice(self._recent_commands, start, start + limit)), current
 
     def snapshot(self) -> bytes:
-        """Returns the whole state as bytes."""
+        """Returns the serialised state."""
         state = self.config.snapshot()
         state.document = messages.PutDocument(*self.document.held())
         state.departures = self.departures.records()
@@ -88,14 +90,14 @@
         return len(config).to_bytes(8, "big") + config + self.journal.snapshot()
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by what `snapshot` returned."""
-        size = int.from_bytes(data[:8], "big")
-        state = decode(messages.ConfigSnapshot, data[8 : 8 + size])
+        """Replaces the state by a serialised one."""
+        config_bytes = int.from_bytes(data[:8], "big")
+        state = decode(messages.ConfigSnapshot, data[8 : 8 + config_bytes])
         self.config.restore(state)
         if state.document is not None:
             self.document.put(state.document.version, state.document.body or b"")
         for record in state.departures or []:
             self.departures.put(record)
         self.roster.put(state.backends or [])
-        self.journal.restore(data[8 + size :])
-        self._recent.clear()
+        self.journal.restore(data[8 + config_bytes :])
+        self._recent_commands.clear()
--- a/libs/arbutusrill_state/_roster.py
+++ b/libs/arbutusrill_state/_roster.py
@@ -1,4 +1,4 @@
-"""Backend servers as the leader last wrote them down."""
+"""Backend servers last recorded by the leader."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Roster:
-    """The list with which a new leader begins, before the backend servers have announced themselves to it.
+    """List of backend servers from which a new leader starts until the servers announce themselves to it.
 
     >>> roster = Roster()
     >>> roster.put(["a", "b"])
--- a/libs/arbutusrill_state/tests/test_client.py
+++ b/libs/arbutusrill_state/tests/test_client.py
@@ -1,12 +1,12 @@
-"""Guards against a client that loses track of the control VMs."""
+"""Guards against a control client that keeps outdated or duplicate addresses of control VMs."""
 
 from arbutusrill_state import ControlClient
 
 
-def test_group_with_two_members_at_one_address_is_learned_and_left_again():
+def test_duplicate_address_is_added_once_and_removed_again():
     with ControlClient(["127.0.0.1:1"]) as client:
-        # While a VM with a lost disk is replaced, its old and its new member have the same address.
+        # While a VM that lost its disk is replaced, its old and its new member have the same address.
         client.learn(["127.0.0.1:2", "127.0.0.1:2", "127.0.0.1:3"])
         client.learn(["127.0.0.1:3"])
         client.learn(["127.0.0.1:4"])
-        assert client._first()[0] == "127.0.0.1:4"
+        assert client._preferred_client()[0] == "127.0.0.1:4"
--- a/libs/arbutusrill_state/tests/test_config.py
+++ b/libs/arbutusrill_state/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Guards against changes that are lost, applied twice, accepted against the rules or different between replicas."""
+"""Guards against changes that are lost, applied twice, wrongly accepted or different between replicas."""
 
 import threading
 
@@ -9,30 +9,30 @@
 from arbutusrill_state._checks import MAX_ORDERS
 
 
-def do(state, change, request_id, **options):
+def apply_change(state, change, request_id, **options):
     return decode(messages.Outcome, state.apply(encode(command(change, "ops", 5, request_id, **options))))
 
 
 @pytest.fixture
 def state():
-    made = SharedState()
-    assert do(made, messages.PutWorkspace("w", 10.0, 100.0), "w0").accepted
-    return made
+    shared_state = SharedState()
+    assert apply_change(shared_state, messages.PutWorkspace("w", 10.0, 100.0), "w0").accepted
+    return shared_state
 
 
 def restored(state):
-    made = SharedState()
-    made.restore(state.snapshot())
-    return made
+    replica = SharedState()
+    replica.restore(state.snapshot())
+    return replica
 
 
-def test_retry_gets_the_first_answer_also_after_a_snapshot(state):
-    first = do(state, messages.SetDefault("limits.rate", "5.0"), "r1")
-    refused = do(state, messages.SetDefault("limits.rate", "6.0"), "r2", if_revision=99)
+def test_resent_command_gets_its_first_outcome_also_after_a_snapshot(state):
+    first = apply_change(state, messages.SetDefault("limits.rate", "5.0"), "r1")
+    refused = apply_change(state, messages.SetDefault("limits.rate", "6.0"), "r2", if_revision=99)
     state = restored(state)
-    do(state, messages.SetDefault("limits.rate", "7.0"), "r3")
-    assert do(state, messages.SetDefault("limits.rate", "5.0"), "r1") == first
-    assert do(state, messages.SetDefault("limits.rate", "6.0"), "r2", if_revision=99) == refused
+    apply_change(state, messages.SetDefault("limits.rate", "7.0"), "r3")
+    assert apply_change(state, messages.SetDefault("limits.rate", "5.0"), "r1") == first
+    assert apply_change(state, messages.SetDefault("limits.rate", "6.0"), "r2", if_revision=99) == refused
     assert state.config.value("limits.rate") == 7.0
 
 
@@ -42,7 +42,9 @@
     def operator(number):
         with lock:
             accepted.append(
-                do(state, messages.SetDefault("limits.rate", str(number + 1)), f"o{number}", if_revision=1).accepted
+                apply_change(
+                    state, messages.SetDefault("limits.rate", str(number + 1)), f"o{number}", if_revision=1
+                ).accepted
             )
 
     threads = [threading.Thread(target=operator, args=(number,)) for number in range(16)]
@@ -56,7 +58,7 @@
 @pytest.mark.parametrize(
     "text", ["NaN", "Infinity", "-Infinity", "1e999", "1" * 400, "1" * 5000, "[" * 900, '"x"', "true", "null", "1e16"]
 )
-def test_value_that_is_no_usable_number_is_refused(text):
+def test_value_that_is_not_a_number_in_range_is_refused(text):
     assert parse_value("limits.rate", text).is_error()
 
 
@@ -80,80 +82,82 @@
         messages.PutOrder("o", "server", "p", "load_model", "{}", "running"),
     ],
 )
-def test_malformed_change_is_refused_and_moves_nothing(state, change):
+def test_malformed_change_is_refused_and_leaves_the_revision(state, change):
     before = state.config.revision
-    outcome = do(state, change, "bad")
+    outcome = apply_change(state, change, "bad")
     assert not outcome.accepted and outcome.code in ("bad_value", "conflict")
     assert state.config.revision == before
 
 
-def test_newer_kinds_wait_for_their_feature_level(state):
-    do(state, messages.PutVm("v", "a", "b", "", 1, "dead"), "v1")
-    assert do(state, messages.ForgetVm("v", 1), "f1").code == "feature_level"
-    do(state, messages.SetFeatureLevel(2), "l2")
-    assert do(state, messages.ForgetVm("v", 1), "f2").accepted
-    assert not do(state, messages.SetFeatureLevel(1), "l1").accepted
+def test_newer_kind_is_refused_below_its_feature_level(state):
+    apply_change(state, messages.PutVm("v", "a", "b", "", 1, "dead"), "v1")
+    assert apply_change(state, messages.ForgetVm("v", 1), "f1").code == "feature_level"
+    apply_change(state, messages.SetFeatureLevel(2), "l2")
+    assert apply_change(state, messages.ForgetVm("v", 1), "f2").accepted
+    assert not apply_change(state, messages.SetFeatureLevel(1), "l1").accepted
 
 
-def test_replica_stops_at_a_level_that_it_does_not_know(state):
+def test_replica_stops_at_an_unsupported_feature_level(state):
     with pytest.raises(UnsupportedLevelError):
-        do(state, messages.SetFeatureLevel(99), "l99")
+        apply_change(state, messages.SetFeatureLevel(99), "l99")
 
 
 def test_vm_that_runs_again_is_not_forgotten(state):
-    do(state, messages.SetFeatureLevel(2), "l2")
-    do(state, messages.PutVm("v", "a", "b", "", 2, "live"), "v1")
-    assert not do(state, messages.ForgetVm("v", 1), "f").accepted
+    apply_change(state, messages.SetFeatureLevel(2), "l2")
+    apply_change(state, messages.PutVm("v", "a", "b", "", 2, "live"), "v1")
+    assert not apply_change(state, messages.ForgetVm("v", 1), "f").accepted
 
 
 def test_withdrawn_key_stays_withdrawn(state):
-    do(state, messages.IssueKey("k1", "a" * 64, "w"), "i1")
+    apply_change(state, messages.IssueKey("k1", "a" * 64, "w"), "i1")
     assert state.config.workspace_of_key("a" * 64) == "w"
-    do(state, messages.WithdrawKey("k1"), "x1")
-    assert not do(state, messages.IssueKey("k1", "a" * 64, "w"), "i2").accepted
+    apply_change(state, messages.WithdrawKey("k1"), "x1")
+    assert not apply_change(state, messages.IssueKey("k1", "a" * 64, "w"), "i2").accepted
     assert restored(state).config.workspace_of_key("a" * 64) is None
 
 
-def test_most_specific_exception_wins_and_then_the_later_one(state):
+def test_most_specific_exception_wins_and_of_equal_ones_the_latest(state):
     name = "queue.max_wait_s.lookup"
     for number, (kind, scope) in enumerate([("workspace", "w"), ("service", "s"), ("workspace", "w")]):
-        do(state, messages.AddException(f"e{number}", name, kind, scope, str(number + 10), "why"), f"e{number}")
+        apply_change(
+            state, messages.AddException(f"e{number}", name, kind, scope, str(number + 10), "why"), f"e{number}"
+        )
     for config in (state.config, restored(state).config):
         assert config.value(name, workspace="w", service="s") == 12
         assert config.value(name, workspace="x", service="s") == 11
-    do(state, messages.RemoveException("e2"), "rm")
+    apply_change(state, messages.RemoveException("e2"), "rm")
     assert state.config.value(name, workspace="w") == 10
 
 
-def test_exception_decides_the_rate_of_its_workspace(state):
+def test_exception_overrides_the_rate_of_its_workspace(state):
     assert state.config.limits_of("w") == (10.0, 100.0)
-    do(state, messages.AddException("e", "limits.rate", "workspace", "w", "70", "exam term"), "e")
+    apply_change(state, messages.AddException("e", "limits.rate", "workspace", "w", "70", "exam term"), "e")
     assert state.config.limits_of("w") == (70.0, 100.0)
 
 
-def test_order_never_goes_back_and_ids_are_not_reused(state):
+def test_order_never_returns_to_an_earlier_state_and_ids_are_not_reused(state):
     def order(state_name, argument="{}", fencing=0):
         return messages.PutOrder("o", "server", "p", "load_model", argument, state_name, fencing)
 
     for number, step in enumerate(["requested", "released", "running"]):
-        assert do(state, order(step, fencing=number), f"s{number}").accepted
-    assert not do(state, order("running", fencing=1), "old").accepted
-    assert not do(state, order("done", '{"model": "m"}', 5), "other").accepted
-    assert do(state, order("done", fencing=5), "end").accepted
-    assert not do(state, order("requested"), "again").accepted
+        assert apply_change(state, order(step, fencing=number), f"s{number}").accepted
+    assert not apply_change(state, order("running", fencing=1), "old").accepted
+    assert not apply_change(state, order("done", '{"model": "m"}', 5), "other").accepted
+    assert apply_change(state, order("done", fencing=5), "end").accepted
+    assert not apply_change(state, order("requested"), "again").accepted
 
 
-def test_ended_orders_make_room_for_new_ones(state):
+def test_ended_order_is_dropped_for_a_new_one(state):
     for number in range(1001):
         change = messages.PutOrder(f"o{number}", "server", "p", "load_model", "{}", "requested")
-        assert do(state, change, f"r{number}").accepted == (number < 1000)
-    do(state, messages.PutOrder("o7", "server", "p", "load_model", "{}", "withdrawn"), "c")
-    assert do(state, messages.PutOrder("new", "server", "p", "load_model", "{}", "requested"), "n").accepted
+        assert apply_change(state, change, f"r{number}").accepted == (number < 1000)
+    apply_change(state, messages.PutOrder("o7", "server", "p", "load_model", "{}", "withdrawn"), "c")
+    assert apply_change(state, messages.PutOrder("new", "server", "p", "load_model", "{}", "requested"), "n").accepted
 
 
-def test_followers_get_changes_in_bounded_parts(state):
+def test_followers_get_commands_in_bounded_batches(state):
     for number in range(450):
-        do(state, messages.SetDefault("limits.rate", str(number + 1)), f"d{number}")
+        apply_change(state, messages.SetDefault("limits.rate", str(number + 1)), f"d{number}")
     revision, parts = 1, []
     while True:
         commands, current = state.commands_after(revision)
@@ -167,7 +171,7 @@
 
 
 def test_order_that_drains_a_server_is_never_dropped():
-    """Dropping it would put the server back into service without any operator's wish."""
+    """Dropping such an order would put the server back into service without a request by an operator."""
     config = SharedState().config
     for state in ("requested", "released", "running", "done"):
         config.apply(command(messages.PutOrder("drain-d1", "d1", "m", "drain", "{}", state), "ops", 0))
@@ -179,14 +183,14 @@
 
 
 def test_share_of_a_workspace_grows_with_its_rate_and_its_weight(state):
-    do(state, messages.PutWorkspace("large", 40.0, 100.0, 2.0), "w1")
+    apply_change(state, messages.PutWorkspace("large", 40.0, 100.0, 2.0), "w1")
     assert state.config.share_weight("large") == 8 * state.config.share_weight("w")
     assert state.config.share_weight("") == 2000.0, "calls of open routes have no workspace"
 
 
-def test_backend_servers_written_down_are_in_the_snapshot(state):
+def test_recorded_backend_servers_are_in_the_snapshot(state):
     record = messages.BackendRecord("b-1", 1, 1, "desk", "10.0.0.1:80", "z1", 6)
     state.apply(encode(command(messages.PutBackends([record]), "site", 0)))
-    made = SharedState()
-    made.restore(state.snapshot())
-    assert made.roster.records() == [record]
+    replica = SharedState()
+    replica.restore(state.snapshot())
+    assert replica.roster.records() == [record]
--- a/libs/arbutusrill_state/tests/test_journal.py
+++ b/libs/arbutusrill_state/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Guards against a second sender of a once-only call and against lost or forged outcomes."""
+"""Guards against two senders of a once-only call and against lost or contradictory outcomes."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class Site:
-    """A shared state with two live VMs; commands go through its serialised form, as on a replica."""
+    """A shared state with two live VMs; commands are serialised as on a replica."""
 
     def __init__(self):
         self.state = SharedState()
@@ -17,25 +17,25 @@
         self.vm("v1", 1)
         self.vm("v2", 2)
 
-    def do(self, change, request_id=None):
+    def apply_change(self, change, request_id=None):
         self.count += 1
         data = encode(command(change, "t", 0, request_id or f"r{self.count}"))
         return decode(messages.Outcome, self.state.apply(data))
 
     def vm(self, name, incarnation, state="live"):
-        assert self.do(messages.PutVm(name, "a", "b", "", incarnation, state)).accepted
+        assert self.apply_change(messages.PutVm(name, "a", "b", "", incarnation, state)).accepted
 
     def begin(self, begin_id, vm="v1", incarnation=1, key="k", digest=b"d"):
-        outcome = self.do(messages.JournalBegin("w", key, digest, vm, incarnation), begin_id)
+        outcome = self.apply_change(messages.JournalBegin("w", key, digest, vm, incarnation), begin_id)
         assert outcome.accepted, outcome.message
         return decode(messages.BeginAnswer, outcome.detail)
 
     def finish(self, begin_id, status, attempt=0, key="k", body=b""):
         change = messages.JournalFinish("w", key, attempt, status, 201, "[]", body, begin_id)
-        return self.do(change).accepted
+        return self.apply_change(change).accepted
 
     def sweep(self, seconds):
-        self.do(messages.JournalSweep(0, int(seconds * 1000)))
+        self.apply_change(messages.JournalSweep(0, int(seconds * 1000)))
 
 
 @pytest.fixture
@@ -61,7 +61,7 @@
     assert site.begin("b2").status == "unknown"
 
 
-def test_entry_of_a_dead_vm_becomes_unknown_for_good(site):
+def test_entry_of_a_dead_vm_stays_unknown(site):
     site.begin("b1")
     site.vm("v1", 1, "dead")
     assert site.begin("b2", "v2", 2).status == "unknown"
@@ -103,8 +103,8 @@
     assert site.begin("b2", digest=b"e").status == "mismatch"
 
 
-def test_answer_above_the_bound_is_recorded_as_ran(site):
-    site.do(messages.SetDefault("journal.answer_bytes", "4"))
+def test_answer_above_the_size_limit_is_recorded_as_ran(site):
+    site.apply_change(messages.SetDefault("journal.answer_bytes", "4"))
     site.begin("b1")
     site.finish("b1", "done", body=b"12345")
     answer = site.begin("b2")
@@ -112,13 +112,13 @@
 
 
 @pytest.mark.parametrize("key", ["", "k" * 256])
-def test_key_of_unusual_length_is_refused(site, key):
-    outcome = site.do(messages.JournalBegin("w", key, b"d", "v1", 1))
+def test_empty_or_too_long_key_is_refused(site, key):
+    outcome = site.apply_change(messages.JournalBegin("w", key, b"d", "v1", 1))
     assert not outcome.accepted and outcome.code == "bad_value"
 
 
 def test_sweep_drops_ended_entries_and_keeps_those_under_way_as_unknown(site):
-    site.do(messages.SetDefault("journal.retention_s", "60"))
+    site.apply_change(messages.SetDefault("journal.retention_s", "60"))
     site.begin("b1")
     site.begin("b2", key="k2")
     site.finish("b1", "done")
@@ -137,9 +137,9 @@
     assert not site.finish("b1", "not_run", 1)
 
 
-def test_second_outstanding_attempt_is_a_fault(site):
+def test_second_outstanding_attempt_fails_an_assertion(site):
     site.begin("b1")
-    site.state.journal.entries_by_key["w", "k"].status = "not_run"  # the fault made on purpose
+    site.state.journal.entries_by_key["w", "k"].status = "not_run"  # the injected error
     with pytest.raises(AssertionError, match="may still be sent"):
         site.begin("b2")
 
@@ -151,24 +151,24 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_random_commands_give_one_sender_and_the_same_state_after_a_snapshot(seed):
-    chance, site, other = random.Random(seed), Site(), SharedState()
+    rng, site, other = random.Random(seed), Site(), SharedState()
     allowed, ended = {}, {}
     for step in range(300):
-        key = f"k{chance.randrange(4)}"
-        begin_id = f"b{chance.randrange(step + 1)}-{key}"
-        if chance.random() < 0.5:
+        key = f"k{rng.randrange(4)}"
+        begin_id = f"b{rng.randrange(step + 1)}-{key}"
+        if rng.random() < 0.5:
             answer = site.begin(begin_id, f"v{1 + step % 2}", 1 + step % 2, key)
             if answer.status == "started":
-                # An earlier attempt must have been proven not to have run.
+                # Every earlier attempt must have been recorded as not run.
                 earlier = [begun for begun in allowed.get(key, []) if begun != begin_id]
                 assert all(ended.get(begun) == "not_run" for begun in earlier)
                 allowed.setdefault(key, set()).add(begin_id)
-        elif chance.random() < 0.8:
-            status = chance.choice(["done", "not_run", "not_run", "unknown", "ran"])
+        elif rng.random() < 0.8:
+            status = rng.choice(["done", "not_run", "not_run", "unknown", "ran"])
             if site.finish(begin_id, status, key=key):
                 ended[begin_id] = status
         else:
-            site.vm("v1", 1, chance.choice(["dead", "live"]))
+            site.vm("v1", 1, rng.choice(["dead", "live"]))
         if step % 50 == 0:
             other.restore(site.state.snapshot())
             assert other.snapshot() == site.state.snapshot()
--- a/libs/arbutusrill_state/tests/test_journal_client.py
+++ b/libs/arbutusrill_state/tests/test_journal_client.py
@@ -1,4 +1,4 @@
-"""Guards against a send after the fence and against outcomes that are lost while control is away."""
+"""Guards against sends after the send deadline and against outcomes lost while the control group is unavailable."""
 
 import pytest
 from arbutusrill_base import FailureError, ManualClock, Verdict
@@ -8,22 +8,22 @@
 
 
 class Control:
-    """Applies commands to a shared state; can be away, lose answers and deliver begins late."""
+    """Applies commands to a shared state; can be unavailable, lose replies and deliver begins late."""
 
     def __init__(self):
         self.state = SharedState()
         self.apply(command(messages.PutVm("v", "a", "b", "", 1, "live"), "t", 0))
-        self.away = False
+        self.unavailable = False
         self.lose_answers = 0
-        self.late = []
+        self.delayed_begins = []
 
     def apply(self, made):
         return decode(messages.Outcome, self.state.apply(encode(made)))
 
     def call(self, name, made, timeout):
-        if self.away:
-            self.late.append(made)
-            raise ControlUnavailableError("away", True)
+        if self.unavailable:
+            self.delayed_begins.append(made)
+            raise ControlUnavailableError("unavailable", True)
         outcome = self.apply(made)
         if self.lose_answers:
             self.lose_answers -= 1
@@ -50,13 +50,13 @@
     return JournalClient("v", 1, control, clock)
 
 
-def test_frozen_vm_does_not_send_after_the_fence(journal, control, clock):
+def test_suspended_vm_does_not_send_after_the_send_deadline(journal, control, clock):
     attempt = journal.begin("w", "k", b"d")
     clock.advance(10)
     with pytest.raises(FailureError, match="send_too_late"):
         journal.check_send(attempt, 1e9)
     journal.fail(attempt, Verdict.MAY_HAVE_RUN)
-    assert control.status() == "not_run"  # proven, nothing was sent
+    assert control.status() == "not_run"  # proven, because nothing was sent
 
 
 def test_call_is_not_sent_after_the_deadline_of_its_caller(journal, clock):
@@ -73,14 +73,14 @@
     assert control.status() == "unknown"
 
 
-def test_outcome_is_recorded_once_control_is_back(journal, control):
+def test_outcome_is_recorded_when_control_is_available_again(journal, control):
     attempt = journal.begin("w", "k", b"d")
     journal.check_send(attempt, 1e9)
-    control.away = True
+    control.unavailable = True
     journal.succeed(attempt, 201, "[]", b"seat 12", 1000)
-    assert control.status() == "running" and not journal.retry()
-    control.away = False
-    assert journal.retry() and control.status() == "done"
+    assert control.status() == "running" and not journal.retry_finishes()
+    control.unavailable = False
+    assert journal.retry_finishes() and control.status() == "done"
     assert journal.begin("w", "k", b"d").answer.body == b"seat 12"
 
 
@@ -89,21 +89,21 @@
     with pytest.raises(FailureError) as caught:
         journal.begin("w", "k", b"d")
     assert caught.value.failure.verdict is Verdict.NOT_RUN and control.status() == "running"
-    journal.retry()
+    journal.retry_finishes()
     assert journal.begin("w", "k", b"d").answer.status == "started"
 
 
-def test_begin_that_arrives_after_its_end_is_ended_too(journal, control):
-    control.away = True
+def test_begin_applied_after_its_finish_was_sent_is_finished_too(journal, control):
+    control.unavailable = True
     with pytest.raises(FailureError):
         journal.begin("w", "k", b"d")
-    control.away = False
-    assert not journal.retry()
-    control.apply(control.late[0])
-    assert journal.retry() and control.status() == "not_run"
+    control.unavailable = False
+    assert not journal.retry_finishes()
+    control.apply(control.delayed_begins[0])
+    assert journal.retry_finishes() and control.status() == "not_run"
 
 
-def test_answer_above_the_bound_is_not_sent_to_the_journal(journal, control):
+def test_answer_above_the_size_limit_is_not_sent_to_the_journal(journal, control):
     attempt = journal.begin("w", "k", b"d")
     journal.check_send(attempt, 1e9)
     journal.succeed(attempt, 200, "[]", b"x" * 1001, 1000)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("key", ["", "k" * 256])
-def test_key_of_unusual_length_is_refused_with_its_name(journal, key):
+def test_empty_or_too_long_key_is_refused_with_the_header_name(journal, key):
     with pytest.raises(FailureError) as caught:
         journal.begin("w", key, b"d")
     assert caught.value.failure.status == 400 and caught.value.failure.param == "Idempotency-Key"
