--- a/libs/arbutusrill_limits/_fleet_meter.py
+++ b/libs/arbutusrill_limits/_fleet_meter.py
@@ -68,8 +68,8 @@
 class FleetMeter:
     """Decides whether a request is within its workspace's rate.
 
-    `entry_count` returns the number of entry VMs that share the rates. `slack` is the configured number of
-    tokens by which a workspace may briefly exceed its bucket; the rate over time stays the same.
+    `entry_count` returns the number of entry VMs that share the rates. `slack` is the configured number of tokens by
+    which a workspace may briefly exceed its bucket; the rate over time stays the same.
     """
 
     def __init__(self, clock: Clock, authority: RateAuthority, entry_count: Callable[[], int], slack: float = 0.0):
--- a/libs/arbutusrill_limits/_owner.py
+++ b/libs/arbutusrill_limits/_owner.py
@@ -43,9 +43,9 @@
 class GrantOwner:
     """Grants tokens to entry VMs so that all VMs together stay within each workspace's rate and burst.
 
-    `limits_of` returns the `Limits` of a workspace, or None for an unknown one. The epoch is the
-    leader's term. Each term begins with empty buckets, which start to fill `MAX_LEASE_S` plus the clock drift later,
-    when every grant of an earlier leader has expired.
+    `limits_of` returns the `Limits` of a workspace, or None for an unknown one. The epoch is the leader's term. Each
+    term begins with empty buckets, which start to fill `MAX_LEASE_S` plus the clock drift later, when every grant of an
+    earlier leader has expired.
     """
 
     def __init__(self, limits_of: Callable[[str], Limits | None], clock: Clock):
--- a/libs/arbutusrill_limits/tests/test_bound.py
+++ b/libs/arbutusrill_limits/tests/test_bound.py
@@ -39,7 +39,7 @@
         self.owner = GrantOwner(lambda _: self.limits, self.clock)
         self.owner.enter_epoch(self.epoch)
 
-    def change(self, limits):
+    def set_limits(self, limits):
         self.limits = limits
         self.history.append((self.clock.monotonic(), limits))
 
@@ -69,16 +69,16 @@
         except MessageLostError:
             pass
 
-    def request(self, vm, tokens, used, wait=0.05, hold=0.0):
-        def gone():
+    def request(self, vm, tokens, used, wait_s=0.05, hold_s=0.0):
+        def poll():
             self.step(vm)
             self.clock.advance(0.01)
             return False
 
         try:
-            with vm.charge("a", tokens, self.clock.monotonic() + wait, gone) as charge:
+            with vm.charge("a", tokens, self.clock.monotonic() + wait_s, poll) as charge:
                 self.used.append((self.clock.monotonic(), used))
-                self.clock.advance(hold)
+                self.clock.advance(hold_s)
                 charge.settle(used)
         except FailureError:
             self.refused += 1
@@ -111,14 +111,14 @@
         vm = rng.choice(fleet.vms)
         if action < 0.6:
             tokens = rng.uniform(1, fleet.limits.capacity * 0.6)
-            fleet.request(vm, tokens, tokens * rng.choice([0, 0.3, 1, 1]), hold=rng.choice([0, 0, 0.2, 2.0]))
+            fleet.request(vm, tokens, tokens * rng.choice([0, 0.3, 1, 1]), hold_s=rng.choice([0, 0, 0.2, 2.0]))
         elif action < 0.8:
             fleet.step(vm)
         elif action < 0.95:
             fleet.clock.advance(rng.choice([0.001, 0.05, 0.7, 3.0]))
             fleet.clock.step_wall(rng.choice([-3600, 3600]))
         elif action < 0.98 and changes:
-            fleet.change(Limits(rng.choice([50.0, 1000.0, 8000.0]), rng.choice([40.0, 2000.0, 30000.0])))
+            fleet.set_limits(Limits(rng.choice([50.0, 1000.0, 8000.0]), rng.choice([40.0, 2000.0, 30000.0])))
         else:
             fleet.new_owner()
 
@@ -157,7 +157,7 @@
         tokens = fleet.random.uniform(10, 200)
         sent += tokens
         fleet.clock.advance(max(0.0, start + sent / 950 - fleet.clock.monotonic()))
-        fleet.request(fleet.vms[0], tokens, tokens, wait=1.0)
+        fleet.request(fleet.vms[0], tokens, tokens, wait_s=1.0)
         for vm in fleet.vms:
             fleet.step(vm)
     assert fleet.refused == 0
@@ -170,7 +170,7 @@
     fleet.request(vm, 100, 100)
     fleet.fault_probability = 0.6
     for _ in range(10):
-        fleet.request(vm, 300, 0, wait=0.02)
+        fleet.request(vm, 300, 0, wait_s=0.02)
     fleet.fault_probability = 0.0
     vm.drain(fleet.clock.monotonic() + 1)
     bucket = fleet.owner._account_by_workspace["a"].bucket
--- a/libs/arbutusrill_limits/tests/test_fleet.py
+++ b/libs/arbutusrill_limits/tests/test_fleet.py
@@ -41,8 +41,8 @@
 
     def admit(self, tokens):
         """Returns None if the request is admitted, else its wait in seconds."""
-        self.last = self.meter.admit("clinic", tokens, self.leader.limits)
-        return self.last.wait_s or None
+        self.last_decision = self.meter.admit("clinic", tokens, self.leader.limits)
+        return self.last_decision.wait_s or None
 
 
 @pytest.fixture()
@@ -102,7 +102,7 @@
     entry, other = EntryVm(leader), EntryVm(leader, "vm-2")
     entry.poll()
     other.poll()
-    assert entry.admit(80.0) is None and entry.last.decided_by == "leader"
+    assert entry.admit(80.0) is None and entry.last_decision.decided_by == "leader"
     leader.restart()
     for _ in range(2):
         entry.poll()
@@ -155,7 +155,7 @@
     entry = EntryVm(leader, count=2)
     assert entry.admit(50.0) is None
     assert entry.admit(5.0) == pytest.approx(1.0)
-    assert entry.last.decided_by == "part"
+    assert entry.last_decision.decided_by == "part"
 
 
 def test_vm_without_a_leader_is_limited_to_its_share_of_the_last_level(clock, leader):
@@ -176,10 +176,10 @@
     entry.poll()
     assert entry.admit(100.0) is None
     assert entry.admit(50.0) == pytest.approx(5.0)
-    assert entry.last.decided_by == "leader"
+    assert entry.last_decision.decided_by == "leader"
     charge_calls = leader.charge_calls
     assert entry.admit(50.0) is not None and leader.charge_calls == charge_calls
-    assert entry.last.decided_by == "refusal"
+    assert entry.last_decision.decided_by == "refusal"
     clock.advance(0.3)
     assert entry.admit(2.0) is None
 
--- a/libs/arbutusrill_state/_checks.py
+++ b/libs/arbutusrill_state/_checks.py
@@ -21,7 +21,7 @@
 ENDED_ORDER_STATES = ("done", "failed", "withdrawn")
 
 _MIN_LEVEL_BY_KIND = {"forget_vm": 2}  # kinds that replicas of older versions do not support
-_MAX_NAME_CHARACTERS = 128  # characters
+_MAX_NAME_CHARACTERS = 128
 _MAX_TEXT_CHARACTERS = 1000
 _MAX_REQUEST_ID_CHARACTERS = 250
 _MAX_ROUTES = 100
--- a/libs/arbutusrill_state/_journal.py
+++ b/libs/arbutusrill_state/_journal.py
@@ -12,10 +12,10 @@
 
 __all__ = ["MAX_IDEMPOTENCY_KEY_CHARACTERS", "Journal", "JournalEntry"]
 
-MAX_IDEMPOTENCY_KEY_CHARACTERS = 255  # characters
+MAX_IDEMPOTENCY_KEY_CHARACTERS = 255
 _MAX_WORKSPACE_CHARACTERS = 128
-_MAX_DIGEST_BYTES = 64  # bytes
-_MAX_HEADERS_CHARACTERS = 8192  # characters of the recorded headers
+_MAX_DIGEST_BYTES = 64
+_MAX_HEADERS_CHARACTERS = 8192
 _MAX_ENTRIES = 500_000  # about 1 kB each, which keeps a replica below half a gigabyte
 _MAX_BEGIN_IDS = 16  # per entry; a resent begin arrives within seconds of the first
 _MAX_ENTRIES_PER_SWEEP = 5_000  # bounds the time for which one sweep delays the log
@@ -27,7 +27,7 @@
     """State of one idempotency key of a workspace.
 
     `status` is running, not_run, done, ran or unknown; `at_ms` is on the journal's clock. `outstanding` counts
-    the attempts that were allowed to send and whose end is not recorded.
+    the attempts that were allowed to send and are not known to have ended.
     """
 
     digest: str
--- a/libs/arbutusrill_state/_machine.py
+++ b/libs/arbutusrill_state/_machine.py
@@ -18,7 +18,7 @@
 __all__ = ["SharedState"]
 
 MAX_COMMANDS = 200  # per reply to a follower; each takes at most a few kilobytes
-_MAX_MESSAGE_CHARACTERS = 300  # characters
+_MAX_MESSAGE_CHARACTERS = 300
 _MAX_RECENT_COMMANDS = 2000  # one day at the target rate of changes; followers that lag further get a snapshot
 
 
--- a/libs/arbutusrill_state/tests/test_config.py
+++ b/libs/arbutusrill_state/tests/test_config.py
@@ -158,15 +158,15 @@
 def test_followers_get_commands_in_bounded_batches(state):
     for number in range(450):
         apply_change(state, messages.SetDefault("limits.rate", str(number + 1)), f"d{number}")
-    revision, parts = 1, []
+    revision, batch_sizes = 1, []
     while True:
         commands, current = state.commands_after(revision)
         if not commands:
             break
         assert [item.revision for item in commands] == list(range(revision + 1, revision + 1 + len(commands)))
-        parts.append(len(commands))
+        batch_sizes.append(len(commands))
         revision += len(commands)
-    assert parts == [200, 200, 50] and current == 451
+    assert batch_sizes == [200, 200, 50] and current == 451
     assert state.commands_after(current + 1)[0] is None
 
 
--- a/libs/arbutusrill_state/tests/test_journal.py
+++ b/libs/arbutusrill_state/tests/test_journal.py
@@ -160,8 +160,8 @@
             answer = site.begin(begin_id, f"v{1 + step % 2}", 1 + step % 2, key)
             if answer.status == "started":
                 # Every earlier attempt must have been recorded as not run.
-                earlier = [begun for begun in allowed.get(key, []) if begun != begin_id]
-                assert all(ended.get(begun) == "not_run" for begun in earlier)
+                earlier = [other_id for other_id in allowed.get(key, []) if other_id != begin_id]
+                assert all(ended.get(other_id) == "not_run" for other_id in earlier)
                 allowed.setdefault(key, set()).add(begin_id)
         elif rng.random() < 0.8:
             status = rng.choice(["done", "not_run", "not_run", "unknown", "ran"])
