--- a/libs/arbutusrill_site/__init__.py
+++ b/libs/arbutusrill_site/__init__.py
@@ -1,6 +1,6 @@
-"""Shared knowledge of a site: its configuration document, its backend servers and its entry VMs.
+"""Shared state of a site: its configuration, backend servers and entry VMs, and the allocation of model engines.
 
-The metrics are imported on first use: a control VM that starts needs a leader first.
+`SiteMetrics` is imported on first use, so that the imports of a starting control VM do not delay the election.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 from ._places import PlaceLedger
 from ._rates import LeaderRates
 from ._service import SiteLimits, SiteService
-from ._stages import EngineRegister, EngineWork, OrderAnswer, StageKeeper, StageOrders
+from ._stages import EngineRegistry, EngineStatistics, OrderAnswer, StageKeeper, StageOrders
 
 __all__ = [  # noqa: F822
     "BackendRegistry",
     "ClientLimits",
     "ConfigurationError",
     "Engine",
-    "EngineRegister",
-    "EngineWork",
+    "EngineRegistry",
+    "EngineStatistics",
     "EntryDirectory",
     "EntryRegistry",
     "GroupKeeper",
--- a/libs/arbutusrill_site/_backends.py
+++ b/libs/arbutusrill_site/_backends.py
@@ -1,4 +1,4 @@
-"""Backend servers that announce themselves to the control group."""
+"""The leader's registry of the backend servers that announce themselves to the control group."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def is_newer(record: Any, known: Any) -> bool:
-    """Says whether `record` is a later word than `known` of the same backend server.
+    """Whether `record` is a later announcement than `known` of the same backend server.
 
     >>> from arbutusrill_wire import messages
     >>> old = messages.BackendRecord("a", 100, 5)
@@ -26,8 +26,8 @@
     return (record.started_ms, record.sequence) > (known.started_ms, known.sequence)
 
 
-def _same_use(record: Any, known: Any) -> bool:
-    """Says whether two announcements differ in nothing but their sequence number."""
+def _differs_only_in_sequence(record: Any, known: Any) -> bool:
+    """Whether two announcements are equal in all fields that followers use."""
     fields = (
         "started_ms",
         "service_name",
@@ -46,14 +46,19 @@
 class BackendRegistry(Registry):
     """The leader's registry of backend servers.
 
-    What leaves is durable: `departures` comes from the log. So does `roster`, the list with which a new leader begins.
-    An address belongs to the server that started last at it.
+    `departures` and `roster` are part of the replicated state: a departure survives a change of leader, and the roster
+    is the list with which a new leader starts. An address belongs to the server that started last at it.
     """
 
     def __init__(
-        self, clock: Clock, silent_s: float, changed: threading.Condition, departures: Departures, roster: Roster
+        self,
+        clock: Clock,
+        silence_timeout_s: float,
+        changed: threading.Condition,
+        departures: Departures,
+        roster: Roster,
     ):
-        super().__init__(clock, silent_s, changed)
+        super().__init__(clock, silence_timeout_s, changed)
         self._departures = departures
         self._roster = roster
         self._id_by_address: dict[str, str] = {}
@@ -61,25 +66,25 @@
     def _clear(self) -> None:
         self._id_by_address.clear()
 
-    def recall(self) -> None:
-        """Takes the servers of the roster that have not announced themselves; they are dropped if they stay silent."""
+    def restore_roster(self) -> None:
+        """Adds the servers of the roster that have not announced themselves; the timeout then applies to them."""
         for record in self._roster.records():
             with self._changed:
                 if record.id not in self._record_by_id:
                     self.announce(record)
 
-    def unsaved(self) -> list[Any] | None:
-        """Returns the list when it differs from the roster, None when it does not."""
+    def records_to_save(self) -> list[Any] | None:
+        """Returns the records if they differ from the roster, otherwise None."""
         records = self.records()
         saved_by_id = {record.id: record for record in self._roster.records()}
         if len(saved_by_id) == len(records) and all(
-            record.id in saved_by_id and _same_use(record, saved_by_id[record.id]) for record in records
+            record.id in saved_by_id and _differs_only_in_sequence(record, saved_by_id[record.id]) for record in records
         ):
             return None
         return records
 
     def announce(self, record: Any) -> bool:
-        """Takes an announcement; returns False when it is older than what is known."""
+        """Registers an announcement; returns False when it is outdated."""
         now = self._clock.monotonic()
         with self._changed:
             if not self._is_current(record):
@@ -89,9 +94,9 @@
             if known is not None and known.started_ms == record.started_ms and known.ordered_stage != record.stage:
                 record.ordered_stage = known.ordered_stage
             self._record_by_id[record.id] = record
-            self._heard_by_id[record.id] = now
-            if known is None or not _same_use(record, known):
-                self._note(record, known)
+            self._last_heard_by_id[record.id] = now
+            if known is None or not _differs_only_in_sequence(record, known):
+                self._apply_announcement(record, known)
             return True
 
     def _is_current(self, record: Any) -> bool:
@@ -103,12 +108,12 @@
         holder = self._record_by_id.get(self._id_by_address.get(record.address, ""))
         return holder is None or holder.id == record.id or record.started_ms > holder.started_ms
 
-    def _note(self, record: Any, known: Any) -> None:
+    def _apply_announcement(self, record: Any, known: Any) -> None:
         if known is not None and known.address != record.address:
             self._id_by_address.pop(known.address, None)
         holder = self._id_by_address.get(record.address)
         if holder not in (None, record.id):
-            self._drop(holder, f"its address now belongs to {record.id}")
+            self._drop(holder, f"its address is now used by {record.id}")
         self._id_by_address[record.address] = record.id
         _events.emit(
             "backend_changed" if known else "backend_added",
@@ -121,42 +126,42 @@
             start=record.started_ms,
             seq=record.sequence,
         )
-        self._bump()
+        self._increment_revision()
 
-    def note_order(self, backend: str, stage: str) -> None:
-        """Notes that an engine is about to change its stage, until it announces it; empty when it will not."""
+    def record_stage_order(self, backend: str, stage: str) -> None:
+        """Sets the stage that an engine was ordered to change to, empty for none; its announcement of it clears it."""
         with self._changed:
             known = self._record_by_id.get(backend)
             if known is not None and known.ordered_stage != stage:
                 known.ordered_stage = stage
-                self._bump()
+                self._increment_revision()
 
-    def start_of(self, backend: str) -> int:
-        """Returns when a server started, 0 when it is not known."""
+    def started_ms_of(self, backend: str) -> int:
+        """Returns the start of a server in milliseconds of its wall clock, 0 for an unknown server."""
         with self._changed:
             known = self._record_by_id.get(backend)
             return known.started_ms if known else 0
 
     def remove(self, backend: str, started_ms: int) -> None:
-        """Takes out a server that has left, unless it has started again since `started_ms`."""
+        """Removes a server that has departed, unless it was restarted after `started_ms`."""
         with self._changed:
             known = self._record_by_id.get(backend)
             if known is not None and known.started_ms <= started_ms:
-                self._drop(backend, "it has left")
-            self._bump()
+                self._drop(backend, "it has departed")
+            self._increment_revision()
 
     def expire(self) -> None:
-        """Drops the servers that have been silent for too long."""
+        """Drops the servers without an announcement within the timeout."""
         with self._changed:
-            silent = self._silent()
+            silent = self._silent_ids()
             for backend in silent:
-                self._drop(backend, f"no announcement for {self._silent_s:g} s")
+                self._drop(backend, f"no announcement for {self._silence_timeout_s:g} s")
             if silent:
-                self._bump()
+                self._increment_revision()
 
     def _drop(self, backend: str, reason: str) -> None:
         record = self._record_by_id.pop(backend)
-        self._heard_by_id.pop(backend, None)
+        self._last_heard_by_id.pop(backend, None)
         if self._id_by_address.get(record.address) == backend:
             del self._id_by_address[record.address]
         _events.emit("backend_dropped", backend=backend, address=record.address, reason=reason)
--- a/libs/arbutusrill_site/_configuration.py
+++ b/libs/arbutusrill_site/_configuration.py
@@ -1,4 +1,4 @@
-"""A site's configuration: routes, services, workspaces and the limits on callers."""
+"""Configuration of a site: routes, services, workspaces and the limits on callers."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class ConfigurationError(ValueError):
-    """A configuration that contradicts itself; the message names the place."""
+    """Inconsistent configuration; the message names the route and the fault."""
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated."""
+    """How often a request of a route may run, and whether its response is a stream."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """A service that gets a part of a route's requests; weights are relative."""
+    """Service that receives a share of the requests of a route; weights are relative."""
 
     service: str
     weight: float
@@ -43,10 +43,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Requests with one host and path prefix. Times are in seconds.
+    """Handling of the requests with one host and path prefix. Times are in seconds.
 
-    `max_attempts` bounds the backend servers that one request is sent to. A `resumable` stream may go on at another
-    backend server. `event_gap_s` is the longest pause between events that callers accept.
+    `max_attempts` bounds the number of backend servers that one request is sent to. A `resumable` stream may continue
+    at another backend server. `event_gap_s` is the longest pause between events that callers accept.
     """
 
     name: str
@@ -68,7 +68,7 @@
         return self.kind is RouteKind.IDEMPOTENT or (self.kind is RouteKind.STREAM and self.resumable)
 
     def pick_service(self) -> str:
-        """Returns a service by weight."""
+        """Returns a service at random, by weight."""
         if len(self.targets) == 1:
             return self.targets[0].service
         weights = [target.weight for target in self.targets]
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Engine:
-    """Capacity of one model engine of a service; memory is in tokens, `handle_s` the life of a KV cache handle."""
+    """Capacity of each model engine of a service: `kv_tokens` of KV cache, whose handles expire after `handle_s`."""
 
     slots: int
     kv_tokens: int
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """A group of backend servers; `engine` is None for plain services."""
+    """Group of backend servers; `engine` is None for a service without model engines."""
 
     name: str
     engine: Engine | None = None
@@ -94,7 +94,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Workspace:
-    """A caller's organisation; `limits` is None without a rate. `plain_tokens` is the charge without token counts."""
+    """Customer to which callers belong.
+
+    `limits` is None for an unlimited rate. `plain_tokens` is the charge for a request without token counts.
+    """
 
     name: str
     limits: Limits | None = None
@@ -103,7 +106,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientLimits:
-    """Bounds on what callers send; sizes in bytes, times in seconds."""
+    """Limits on requests and connections of callers; sizes in bytes, times in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4 * 1024 * 1024
@@ -113,7 +116,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SiteConfiguration:
-    """One version of a site's configuration. Without workspaces, requests need no key.
+    """One version of the configuration of a site. Without workspaces, requests need no API key.
 
     >>> route = Route("r", "a.example", "/x/", RouteKind.IDEMPOTENT, 1.0, 0.1, (Target("s", 1.0),))
     >>> made = SiteConfiguration.build(1, [route], [Service("s")], {}, [])
@@ -140,18 +143,18 @@
         workspaces: list[Workspace],
         client_limits: ClientLimits | None = None,
     ) -> SiteConfiguration:
-        """Checks a configuration as a whole; raises `ConfigurationError`."""
+        """Validates the parts and builds the indexes; raises `ConfigurationError` when they are inconsistent."""
         services_by_name = {service.name: service for service in services}
         routes_by_host: dict[str, list[Route]] = {}
-        places = set()
+        host_prefixes = set()
         for route in routes:
             _check_route(route, services_by_name)
-            if (route.host, route.prefix) in places:
+            if (route.host, route.prefix) in host_prefixes:
                 raise ConfigurationError(f"route {route.name!r}: another route has host {route.host} and its prefix")
-            places.add((route.host, route.prefix))
+            host_prefixes.add((route.host, route.prefix))
             routes_by_host.setdefault(route.host, []).append(route)
-        for listed in routes_by_host.values():
-            listed.sort(key=lambda route: -len(route.prefix))
+        for routes_of_host in routes_by_host.values():
+            routes_of_host.sort(key=lambda route: -len(route.prefix))
         by_name = {workspace.name: workspace for workspace in workspaces}
         return cls(
             version, routes_by_host, services_by_name, workspace_by_key, by_name, client_limits or ClientLimits()
--- a/libs/arbutusrill_site/_directory.py
+++ b/libs/arbutusrill_site/_directory.py
@@ -1,4 +1,4 @@
-"""Addresses of entry VMs for callers."""
+"""Directory of the entry VMs that callers may use."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 __all__ = ["EntryDirectory"]
 
-_MOST = 64  # addresses in one answer
+_MAX_ADDRESSES = 64  # addresses in one answer
 
 
 class EntryDirectory:
-    """Lists the entry VMs that take requests. `ttl_s` is how long callers may keep an answer."""
+    """Lists the entry VMs that accept requests; callers may cache an answer for `ttl_s` seconds."""
 
     def __init__(self, view: SiteView, follower: SiteFollower, address: str, ttl_s: float):
         self._view = view
@@ -21,11 +21,14 @@
         self.ttl_s = ttl_s
 
     def addresses(self) -> list[str]:
-        """Returns IP:port of the VMs that are ready; this VM knows its own state best."""
+        """Returns the IP:port of the ready VMs, at most `_MAX_ADDRESSES` at random.
+
+        This VM is listed by its current state, since the record at the leader may be older.
+        """
         listed = {record.address for record in self._view.entries_by_id.values() if record.state == "ready"}
         if self._follower.state == "ready":
             listed.add(self._address)
         else:
             listed.discard(self._address)
         chosen = sorted(listed)
-        return random.sample(chosen, _MOST) if len(chosen) > _MOST else chosen
+        return random.sample(chosen, _MAX_ADDRESSES) if len(chosen) > _MAX_ADDRESSES else chosen
--- a/libs/arbutusrill_site/_entries.py
+++ b/libs/arbutusrill_site/_entries.py
@@ -1,4 +1,4 @@
-"""Entry VMs that follow the leader, as the directory lists them."""
+"""The leader's registry of the entry VMs that poll it."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class EntryRegistry(Registry):
-    """The leader's registry of entry VMs, with the load that each of them reports on backend servers."""
+    """The leader's registry of entry VMs, with the load on backend servers that each of them reports."""
 
-    def __init__(self, clock: Clock, silent_s: float, changed: threading.Condition):
-        super().__init__(clock, silent_s, changed)
+    def __init__(self, clock: Clock, silence_timeout_s: float, changed: threading.Condition):
+        super().__init__(clock, silence_timeout_s, changed)
         self._incarnation_by_id: dict[str, int] = {}
         self._uses_by_id: dict[str, list[Any]] = {}
 
@@ -27,32 +27,32 @@
         self._incarnation_by_id.clear()
         self._uses_by_id.clear()
 
-    def heard(self, record: Any, incarnation: int, uses: list[Any]) -> None:
-        """Notes a call of an entry VM with its state and its load on backend servers."""
+    def record_heartbeat(self, record: Any, incarnation: int, uses: list[Any]) -> None:
+        """Records a poll of an entry VM with its state and its load on backend servers."""
         with self._changed:
             known = self._record_by_id.get(record.id)
-            self._heard_by_id[record.id] = self._clock.monotonic()
+            self._last_heard_by_id[record.id] = self._clock.monotonic()
             self._uses_by_id[record.id] = uses
             self._incarnation_by_id[record.id] = incarnation
             if known != record:
                 self._record_by_id[record.id] = record
                 _events.emit("entry_changed", entry=record.id, address=record.address, state=record.state)
-                self._bump()
+                self._increment_revision()
 
     def expire(self) -> list[tuple[str, int]]:
-        """Drops the entry VMs that have been silent for too long; returns them with their incarnations."""
+        """Drops the entry VMs without a poll within the timeout; returns their IDs and incarnations."""
         with self._changed:
             dropped = []
-            for entry in self._silent():
-                del self._record_by_id[entry], self._heard_by_id[entry], self._uses_by_id[entry]
+            for entry in self._silent_ids():
+                del self._record_by_id[entry], self._last_heard_by_id[entry], self._uses_by_id[entry]
                 dropped.append((entry, self._incarnation_by_id.pop(entry)))
-                _events.emit("entry_dropped", entry=entry, reason=f"no call for {self._silent_s:g} s")
+                _events.emit("entry_dropped", entry=entry, reason=f"no poll for {self._silence_timeout_s:g} s")
             if dropped:
-                self._bump()
+                self._increment_revision()
             return dropped
 
     def uses_of_others(self, entry: str) -> list[Any]:
-        """Returns the load on backend servers by all entry VMs but one."""
+        """Returns the load of all entry VMs except `entry`, summed for each backend server."""
         requests_by_id: dict[str, int] = {}
         tokens_by_id: dict[str, int] = {}
         with self._changed:
--- a/libs/arbutusrill_site/_follower.py
+++ b/libs/arbutusrill_site/_follower.py
@@ -1,4 +1,4 @@
-"""An entry VM's view of its site, kept current by a long poll at the control group's leader."""
+"""View of the site on an entry VM, updated by long polls of the leader of the control group."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 __all__ = ["SiteFollower", "SiteView"]
 
-_WAIT_MS = 250
-_CALL_S = 1.0
-_PAUSE_S = 0.05  # after a call that failed
+_LONG_POLL_MS = 250
+_CALL_TIMEOUT_S = 1.0
+_RETRY_DELAY_S = 0.05  # after a failed call
 _events = EventLog("follower")
 
 
 class SiteView:
-    """What an entry VM knows of its site. Replaced fields are read without a lock, as whole values.
+    """State of the site as known to an entry VM. Fields are replaced as whole values and read without a lock.
 
     `document` is the decoded configuration, None before the first one has arrived. `backends_complete` is False while
-    the leader still collects announcements.
+    a new leader collects announcements.
     """
 
     def __init__(self, clock: Clock):
@@ -48,21 +48,21 @@
             return self._changed.wait_for(condition, max(0.0, timeout_s))
 
     def notify(self) -> None:
-        """Wakes those who wait for a change."""
+        """Wakes the threads in `wait_for`."""
         with self._changed:
             self._changed.notify_all()
 
     def age_s(self) -> float:
-        """Returns the seconds since the leader last confirmed this view."""
+        """Returns the seconds since the start of the last successful poll."""
         return self._clock.monotonic() - self.confirmed_at
 
 
 class SiteFollower:
-    """Follows the leader and keeps a `SiteView`.
+    """Polls the leader and updates a `SiteView`.
 
-    `entry` says which entry VM this is. `decode` turns a document's body into the configuration. `uses` returns this
-    VM's load on backend servers, `places` the places that it holds. The document never goes back to an older version;
-    the lists are merged while a new leader still collects them.
+    `entry` is the record of this entry VM. `decode` decodes the body of a configuration document. `uses` returns the
+    load of this VM on backend servers, `places` the places that it holds, `seeds` the configured addresses of control
+    VMs. The document never reverts to an older version; incomplete lists of a new leader are merged with known ones.
     """
 
     def __init__(
@@ -98,18 +98,18 @@
         self.on_change: Callable[[], None] = lambda: None
 
     def start(self, tasks: TaskGroup) -> None:
-        """Follows in a task of its own until the group stops."""
+        """Polls in a background task until `tasks` stops."""
         tasks.start(self._run, tasks.stopping)
 
     @property
     def state(self) -> str:
-        """``starting`` before the first configuration, then ``ready``, at the end ``draining``."""
+        """``starting`` before the first configuration, then ``ready``, ``draining`` after `drain`."""
         if self._draining:
             return "draining"
         return "starting" if self.view.document is None else "ready"
 
     def drain(self) -> None:
-        """Tells the leader at once that this entry VM leaves; the long poll repeats it."""
+        """Reports to the leader at once that this entry VM drains; later polls repeat it if the call fails."""
         self._draining = True
         try:
             self._follow(0)
@@ -119,20 +119,20 @@
     def _run(self, stopping: threading.Event) -> None:
         while not stopping.is_set():
             try:
-                self._follow(_WAIT_MS)
+                self._follow(_LONG_POLL_MS)
                 self._failures = 0
-                self._note_connected(True, "")
+                self._set_connected(True, "")
             except (ControlUnavailableError, messages.Refused) as error:
                 self._failures += 1
-                self._note_connected(False, str(error))
-                # Members may all have changed while this VM was cut off: the seeds are the way back.
+                self._set_connected(False, str(error))
+                # All known members may have been replaced during a partition: the seeds are always tried too.
                 self._client.learn(self._seeds())
-                stopping.wait(_PAUSE_S)
-            except Exception as error:  # a document or list that this version cannot read must not end the task
+                stopping.wait(_RETRY_DELAY_S)
+            except Exception as error:  # data that this software version cannot decode must not end the task
                 _events.emit("view_not_updated", reason=repr(error))
-                stopping.wait(_PAUSE_S)
+                stopping.wait(_RETRY_DELAY_S)
 
-    def _note_connected(self, connected: bool, reason: str) -> None:
+    def _set_connected(self, connected: bool, reason: str) -> None:
         if connected != self._connected:
             self._connected = connected
             event = "control_regained" if connected else "control_lost"
@@ -158,14 +158,14 @@
             report.uncounted,
         )
         sent_at = self._clock.monotonic()
-        reply = self._client.call("follow_site", request, timeout=_CALL_S, try_timeout=wait_ms / 1000 + 0.35)
+        reply = self._client.call("follow_site", request, timeout=_CALL_TIMEOUT_S, try_timeout=wait_ms / 1000 + 0.35)
         with self._state_lock:
-            self._take(reply)
+            self._apply_reply(reply)
         self._meter.learn(report, FleetLevels(reply.available or {}, reply.counted))
         self.view.confirmed_at = sent_at
         self._client.learn(reply.control or [])
 
-    def _take(self, reply: Any) -> None:
+    def _apply_reply(self, reply: Any) -> None:
         view = self.view
         if reply.term < self._term:
             return
@@ -176,12 +176,12 @@
             took_ms = round((time.monotonic() - started) * 1000, 1)
             _events.emit("document_applied", version=view.version, term=reply.term, took_ms=took_ms)
         if reply.backends is not None:
-            left = {record.id: (record.started_ms, record.sequence) for record in reply.departures or []}
-            merged = self._merged(view.backends_by_id, reply.backends, reply.backends_complete)
+            departed = {record.id: (record.started_ms, record.sequence) for record in reply.departures or []}
+            merged = self._merge_backends(view.backends_by_id, reply.backends, reply.backends_complete)
             view.backends_by_id = {
                 id_: record
                 for id_, record in merged.items()
-                if record.draining or (record.started_ms, record.sequence) > left.get(id_, (-1, -1))
+                if record.draining or (record.started_ms, record.sequence) > departed.get(id_, (-1, -1))
             }
         if reply.entries is not None:
             entries = {record.id: record for record in reply.entries}
@@ -197,14 +197,15 @@
             view.notify()
 
     @staticmethod
-    def _merged(known: dict[str, Any], records: list[Any], complete: bool) -> dict[str, Any]:
+    def _merge_backends(known: dict[str, Any], records: list[Any], complete: bool) -> dict[str, Any]:
+        """Merges a list of the leader into the known backend servers; a complete list replaces them."""
         fresh = {record.id: record for record in records}
         if complete:
             return fresh
         merged = dict(known)
-        held = {record.address for record in records}
+        new_addresses = {record.address for record in records}
         for backend, record in known.items():
-            if record.address in held and backend not in fresh:
+            if record.address in new_addresses and backend not in fresh:
                 del merged[backend]
         for backend, record in fresh.items():
             old = known.get(backend)
--- a/libs/arbutusrill_site/_metrics.py
+++ b/libs/arbutusrill_site/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of a control VM's site service."""
+"""Prometheus metrics of the site service of a control VM."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 __all__ = ["SiteMetrics"]
 
-_BUCKETS_S = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
+_BUCKET_BOUNDS_S = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
 
 
 class SiteMetrics(Collector):
-    """Metrics of one control VM: its calls by method and outcome, and its replica's state when they are read."""
+    """Metrics of one control VM: calls by method and outcome, and the state of its replica at the time of a scrape."""
 
     def __init__(self, service: SiteService, log: Replica):
         self._service = service
@@ -26,22 +26,22 @@
         self._calls = Counter(
             "arbutusrill_control_calls", "Calls by method and outcome.", ["method", "outcome"], registry=self._registry
         )
-        self._seconds = Histogram(
+        self._call_seconds = Histogram(
             "arbutusrill_control_call_seconds",
             "Time in which a call was answered; long polls and places include their wait.",
             ["method"],
-            buckets=_BUCKETS_S,
+            buckets=_BUCKET_BOUNDS_S,
             registry=self._registry,
         )
         self._registry.register(self)
 
     def called(self, method: str, outcome: str, took_s: float) -> None:
-        """Counts a call; `outcome` is ``ok``, ``refused`` or ``failed``."""
+        """Records a call and its duration; `outcome` is ``ok``, ``refused`` or ``failed``."""
         self._calls.labels(method, outcome).inc()
-        self._seconds.labels(method).observe(took_s)
+        self._call_seconds.labels(method).observe(took_s)
 
     def collect(self) -> Iterable[GaugeMetricFamily]:
-        """Reads the gauges."""
+        """Yields the gauges with their current values."""
         status, service = self._log.status(), self._service
         values = {
             "leader": (float(self._log.is_leader()), "1 when this control VM leads"),
@@ -59,5 +59,5 @@
             yield GaugeMetricFamily(f"arbutusrill_control_{name}", text, value=value)
 
     def expose(self) -> bytes:
-        """Returns the metrics in the text format."""
+        """Returns the metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/libs/arbutusrill_site/_rates.py
+++ b/libs/arbutusrill_site/_rates.py
@@ -1,4 +1,4 @@
-"""Charges of tokens that an entry VM asks the leader for."""
+"""Client of the leader's token buckets, for an entry VM."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 __all__ = ["LeaderRates"]
 
-_CALL_S = 0.15  # a request waits for no longer; then this VM decides by its part of the rate
+_CALL_TIMEOUT_S = 0.15  # longest delay of a request; after it this VM decides by its own share of the rate
 
 
 class LeaderRates(RateAuthority):
-    """Asks the leader whether a workspace has the tokens for one more request."""
+    """Charges the bucket of a workspace at the leader; raises `RateAuthorityLostError` if that fails."""
 
     def __init__(self, vm: str, incarnation: int, client: ControlClient):
         self._vm = vm
@@ -20,9 +20,9 @@
         self._client = client
 
     def charge(self, workspace: str, tokens: float) -> float:
-        """Charges `tokens` and returns 0, or returns after how many seconds they would be there."""
+        """Charges `tokens` and returns 0, or returns the seconds until that many are available."""
         charge = messages.TokenCharge(self._vm, self._incarnation, workspace, tokens)
         try:
-            return self._client.call("charge_tokens", charge, timeout=_CALL_S, try_timeout=_CALL_S)
+            return self._client.call("charge_tokens", charge, timeout=_CALL_TIMEOUT_S, try_timeout=_CALL_TIMEOUT_S)
         except (ControlUnavailableError, messages.Refused) as error:
             raise RateAuthorityLostError(str(error)) from None
--- a/libs/arbutusrill_site/_registry.py
+++ b/libs/arbutusrill_site/_registry.py
@@ -1,4 +1,4 @@
-"""What the leader's registries of backend servers and entry VMs have in common."""
+"""Base class of the leader's registries of backend servers and entry VMs."""
 
 from __future__ import annotations
 
@@ -12,54 +12,53 @@
 
 
 class Registry(abc.ABC):
-    """Soft state that is collected anew after each change of leader; what is silent for `silent_s` seconds is dropped.
+    """Soft state that is rebuilt after each change of leader; silent entries expire after `silence_timeout_s` seconds.
 
-    `revision` increases with each change that followers have to know. `changed` guards the state and wakes the
-    followers.
+    `revision` increases with each change that followers need. `changed` guards the state and notifies the followers.
     """
 
-    def __init__(self, clock: Clock, silent_s: float, changed: threading.Condition):
+    def __init__(self, clock: Clock, silence_timeout_s: float, changed: threading.Condition):
         self._clock = clock
-        self._silent_s = silent_s
+        self._silence_timeout_s = silence_timeout_s
         self._changed = changed
         self._record_by_id: dict[str, Any] = {}
-        self._heard_by_id: dict[str, float] = {}
-        self._since = clock.monotonic()
-        self._complete = False  # as last told to the followers
+        self._last_heard_by_id: dict[str, float] = {}
+        self._collecting_since = clock.monotonic()
+        self._complete = False  # changes together with `revision`
         self.revision = 0
 
     @abc.abstractmethod
     def _clear(self) -> None:
-        """Forgets what a subclass holds beside the records."""
+        """Clears the state that a subclass keeps beside the records."""
 
     def begin_term(self) -> None:
-        """Forgets everything at the start of a leadership."""
+        """Clears the registry at the start of a term."""
         with self._changed:
             self._record_by_id.clear()
-            self._heard_by_id.clear()
+            self._last_heard_by_id.clear()
             self._clear()
-            self._since = self._clock.monotonic()
+            self._collecting_since = self._clock.monotonic()
             self._complete = False
-            self._bump()
+            self._increment_revision()
 
     @property
     def complete(self) -> bool:
-        """Whether everyone who runs has had the time to be heard in this term."""
+        """Whether all running servers or VMs have had time to report in this term."""
         return self._complete
 
     def records(self) -> list[Any]:
-        """Returns the latest record of each."""
+        """Returns the latest record of each server or VM."""
         with self._changed:
             return list(self._record_by_id.values())
 
-    def _silent(self) -> list[str]:
-        """Returns the ids of those to drop, and notes when the registry has become complete."""
+    def _silent_ids(self) -> list[str]:
+        """Returns the IDs that have timed out; marks the registry complete one timeout after the start of the term."""
         now = self._clock.monotonic()
-        if not self._complete and now - self._since >= self._silent_s:
+        if not self._complete and now - self._collecting_since >= self._silence_timeout_s:
             self._complete = True
-            self._bump()
-        return [id_ for id_, heard in self._heard_by_id.items() if now - heard > self._silent_s]
+            self._increment_revision()
+        return [id_ for id_, heard in self._last_heard_by_id.items() if now - heard > self._silence_timeout_s]
 
-    def _bump(self) -> None:
+    def _increment_revision(self) -> None:
         self.revision += 1
         self._changed.notify_all()
--- a/libs/arbutusrill_site/_service.py
+++ b/libs/arbutusrill_site/_service.py
@@ -1,4 +1,4 @@
-"""RPC service of a control VM for a site: document, backend servers, entry VMs and token levels."""
+"""RPC service of a control VM for a site: configuration, backend servers, entry VMs, token buckets and places."""
 
 from __future__ import annotations
 
@@ -20,33 +20,33 @@
 from ._entries import EntryRegistry
 from ._membership import GroupKeeper
 from ._places import PlaceLedger
-from ._stages import EngineRegister, EngineWork, StageKeeper
+from ._stages import EngineRegistry, EngineStatistics, StageKeeper
 
 __all__ = ["SiteLimits", "SiteService"]
 
-_COMMIT_S = 2.0
-_CONFIRM_S = 1.0
-_MAX_WAIT_S = 2.0
-_FINAL = 2**62  # sequence number after which no announcement of a start counts
-_SAVE_S_PER_BACKEND = 0.05
-_GATHER_S = 0.005  # changes that come together go out in one answer
+_COMMIT_TIMEOUT_S = 2.0
+_CONFIRM_TIMEOUT_S = 1.0
+_MAX_LONG_POLL_S = 2.0
+_MAX_SEQUENCE = 2**62  # a departure with it covers all announcements of a start
+_SAVE_INTERVAL_S_PER_BACKEND = 0.05  # bounds the rate at which a large list is written to the log
+_COALESCING_DELAY_S = 0.005  # batches concurrent changes into one reply
 _events = EventLog("site")
 
 
 @dataclass(slots=True, frozen=True)
 class SiteLimits:
-    """Times in seconds after which a silent backend server or entry VM is dropped."""
+    """Seconds without an announcement or a poll after which a backend server or an entry VM is dropped."""
 
-    backend_silent_s: float = 6.0
-    entry_silent_s: float = 2.0
+    backend_timeout_s: float = 6.0
+    entry_timeout_s: float = 2.0
 
 
 class SiteService:
-    """Answers the IDL's `Site` service. Only the leader answers; other control VMs name it.
+    """Implements the IDL's `Site` service. Only the leader serves calls; other control VMs refuse them and name it.
 
-    `decode_document` turns a document's body into the configuration. `stages` makes the keeper of the engines' stages
-    from the register of engines and from what is learned of them. `rate_slack` is the number of
-    tokens by which a workspace may exceed its bucket for a moment.
+    `decode_document` decodes the body of a configuration document. `make_stage_keeper` builds the keeper from the
+    registry of engines and the statistics of their work. `rate_slack` is the number of tokens by which a workspace may
+    briefly exceed its bucket.
     """
 
     def __init__(
@@ -57,8 +57,8 @@
         clock: Clock,
         limits: SiteLimits,
         decode_document: Callable[[bytes], SiteConfiguration],
-        keeper: GroupKeeper,
-        stages: Callable[[EngineRegister, EngineWork], StageKeeper],
+        group_keeper: GroupKeeper,
+        make_stage_keeper: Callable[[EngineRegistry, EngineStatistics], StageKeeper],
         rate_slack: float,
     ):
         self._log = log
@@ -66,37 +66,35 @@
         self._changed = changed
         self._clock = clock
         self._decode_document = decode_document
-        self._keeper = keeper
-        self.backends = BackendRegistry(clock, limits.backend_silent_s, changed, state.departures, state.roster)
-        self.entries = EntryRegistry(clock, limits.entry_silent_s, changed)
-        self._buckets = FleetBuckets(self._limits, clock, rate_slack)
-        self.places = PlaceLedger(clock, self.backends.records, self._engine, lambda: self.backends.complete)
-        self.stages = stages(_Engines(self), self.places.speeds)
-        self._decoded: tuple[int, SiteConfiguration | None] = (0, None)
+        self._group_keeper = group_keeper
+        self.backends = BackendRegistry(clock, limits.backend_timeout_s, changed, state.departures, state.roster)
+        self.entries = EntryRegistry(clock, limits.entry_timeout_s, changed)
+        self._buckets = FleetBuckets(self._limits_of, clock, rate_slack)
+        self.places = PlaceLedger(clock, self.backends.records, self._engine_of, lambda: self.backends.complete)
+        self.stage_keeper = make_stage_keeper(_SiteEngineRegistry(self), self.places.speeds)
+        self._decoded_document: tuple[int, SiteConfiguration | None] = (0, None)
         self._term: int | None = None
         self._term_lock = threading.Lock()
         self._saved_at = float("-inf")
 
     @property
     def document_version(self) -> int:
-        """Version of the latest committed document that this VM has applied."""
+        """Version of the latest committed configuration document that this VM has applied."""
         return self._state.document.version
 
-    # ---- RPC methods
-
     def follow_site(self, request: Any) -> Any:
-        """Waits until something that the entry VM does not know has changed, and returns what it lacks."""
-        self._check_leads()
-        self.entries.heard(request.entry, request.incarnation, request.uses or [])
-        self.places.report(request.entry.id, request.incarnation, request.places or [])
+        """Long poll: waits for a change that the entry VM has not seen; returns the changes and the token levels."""
+        self._require_leadership()
+        self.entries.record_heartbeat(request.entry, request.incarnation, request.uses or [])
+        self.places.reconcile_places(request.entry.id, request.incarnation, request.places or [])
         term = self._term
-        if request.term == term and self._wait(request, term):
-            time.sleep(_GATHER_S)
-        self._confirm()
-        self._check_leads()
+        if request.term == term and self._wait_for_change(request, term):
+            time.sleep(_COALESCING_DELAY_S)
+        self._confirm_leadership()
+        self._require_leadership()
         same_term = request.term == self._term
         version, body = self._state.document.held()
-        # Revisions are read before the lists: a change in between is sent once more instead of being missed.
+        # Revisions are read before the lists, so that a change in between is sent twice rather than missed.
         backends_revision, entries_revision = self.backends.revision, self.entries.revision
         knows_backends = same_term and request.backends_revision == backends_revision
         knows_entries = same_term and request.entries_revision == entries_revision
@@ -113,13 +111,13 @@
             self.entries.complete,
             levels.tokens_by_workspace,
             self.entries.uses_of_others(request.entry.id),
-            self._keeper.addresses(),
+            self._group_keeper.addresses(),
             None if knows_backends else self._state.departures.records(),
             levels.counted,
         )
 
-    def _wait(self, request: Any, term: int) -> bool:
-        """Waits for a change that the follower lacks; returns whether there is one."""
+    def _wait_for_change(self, request: Any, term: int) -> bool:
+        """Waits for a change that the entry VM has not seen, at most `request.wait_ms`; returns whether one came."""
 
         def is_behind() -> bool:
             return (
@@ -130,46 +128,46 @@
             )
 
         with self._changed:
-            return self._changed.wait_for(is_behind, min(request.wait_ms / 1000, _MAX_WAIT_S))
+            return self._changed.wait_for(is_behind, min(request.wait_ms / 1000, _MAX_LONG_POLL_S))
 
     def announce_backend(self, record: Any) -> None:
-        """Takes what a backend server says of itself; that it leaves is durable before the answer."""
-        self._check_leads()
+        """Registers an announcement of a backend server; a departure is committed before the reply."""
+        self._require_leadership()
         if record.draining and not self._state.departures.covers(record.id, record.started_ms, 0):
             self._propose(messages.PutDeparture(record.id, record.started_ms, record.sequence))
         self.backends.announce(record)
-        self._confirm()
+        self._confirm_leadership()
 
     def remove_backend(self, backend: str, started_ms: int) -> None:
-        """Takes a backend server out of use, durably; `started_ms` 0 means its latest start."""
-        self._check_leads()
-        start = started_ms or self.backends.start_of(backend) or self._clock.wall_ms()
-        if not self._state.departures.covers(backend, start, _FINAL):
-            self._propose(messages.PutDeparture(backend, start, _FINAL))
+        """Commits the departure of a backend server and drops it; `started_ms` 0 means its latest start."""
+        self._require_leadership()
+        start = started_ms or self.backends.started_ms_of(backend) or self._clock.wall_ms()
+        if not self._state.departures.covers(backend, start, _MAX_SEQUENCE):
+            self._propose(messages.PutDeparture(backend, start, _MAX_SEQUENCE))
         self.backends.remove(backend, start)
-        self._confirm()
+        self._confirm_leadership()
 
     def place(self, request: Any) -> Any:
-        """Waits for a place on a decode engine."""
-        self._check_leads()
+        """Waits for a place on a decode engine, at most `request.wait_ms`."""
+        self._require_leadership()
         return self.places.place(request)
 
     def free_place(self, freed: Any) -> None:
-        """Frees a place."""
-        self._check_leads()
+        """Frees a place and learns from the times that its holder reports."""
+        self._require_leadership()
         self.places.free(freed)
 
     def charge_tokens(self, charge: Any) -> float:
-        """Charges a request of a workspace that is near its limit; returns 0, or the seconds until it may come back."""
-        self._check_leads()
+        """Charges the tokens of a request of a workspace near its limit; returns 0, or the seconds until a retry."""
+        self._require_leadership()
         wait_s = self._buckets.charge(charge.vm, charge.incarnation, charge.workspace, charge.tokens)
         if wait_s is None:
             raise messages.Refused("unknown_vm", f"{charge.vm} has not told yet what it has spent")
         return wait_s
 
     def put_document(self, document: Any) -> int:
-        """Commits a document unless the held version is as high; returns the version in force afterwards."""
-        self._confirm()
+        """Commits a document if its version is higher than the current one; returns the version in force afterwards."""
+        self._confirm_leadership()
         held = self._state.document.version
         if document.version <= held:
             _events.emit("document_not_higher", version=document.version, held=held)
@@ -181,9 +179,9 @@
         return outcome.revision
 
     def _propose(self, change: Any) -> Any:
-        made = encode(command(change, "site", self._clock.wall_ms()))
+        encoded = encode(command(change, "site", self._clock.wall_ms()))
         try:
-            return decode(messages.Outcome, self._log.propose(made, _COMMIT_S))
+            return decode(messages.Outcome, self._log.propose(encoded, _COMMIT_TIMEOUT_S))
         except NotLeaderError as error:
             raise messages.Refused("not_leader", str(error), leader=error.leader) from None
         except LogUnavailableError as error:
@@ -191,42 +189,39 @@
             raise messages.Refused("unavailable", str(error), verdict) from None
 
     def read_document(self) -> Any:
-        """Returns the document in force, proved by a quorum round that began after the call."""
-        self._confirm()
+        """Returns the document in force as a linearizable read: a quorum confirms the leadership after the call."""
+        self._confirm_leadership()
         return messages.SiteDocument(*self._state.document.held())
 
     def join(self, member: str) -> list[str]:
-        """Notes a control VM, by member ID, that has no place in the group; returns the members' addresses."""
-        self._check_leads()
-        self._keeper.ask(member)
-        return self._keeper.addresses()
-
-    # ---- periodic work
+        """Records that the control VM with the ID `member` wants to join the group; returns the members' addresses."""
+        self._require_leadership()
+        self._group_keeper.record_join_request(member)
+        return self._group_keeper.addresses()
 
     def tick(self) -> None:
-        """Begins and ends leaderships, drops what is silent."""
-        if not self._enter_term():
+        """Follows the term of the log, and drops backend servers and entry VMs that time out."""
+        if not self._update_term():
             return
         self.backends.expire()
         for entry, incarnation in self.entries.expire():
             self._buckets.forget(entry, incarnation)
-            self.places.forget(entry, incarnation)
+            self.places.free_places_of(entry, incarnation)
 
     def save_backends(self) -> None:
-        """Writes the backend servers down for the next leader when they have changed; waits for the log."""
-        unsaved = self.backends.unsaved() if self._log.is_leader() and self._term is not None else None
-        # The list of a large site is written less often.
-        if unsaved is None or self._clock.monotonic() < self._saved_at + _SAVE_S_PER_BACKEND * len(unsaved):
+        """Commits the list of backend servers for the next leader when it has changed; blocks until it is committed."""
+        records = self.backends.records_to_save() if self._log.is_leader() and self._term is not None else None
+        if records is None or self._clock.monotonic() < self._saved_at + _SAVE_INTERVAL_S_PER_BACKEND * len(records):
             return
-        self._save(unsaved)
+        self._save_records(records)
 
-    def note_stage_order(self, backend: str, stage: str) -> bool:
-        """Notes durably that an engine is about to change its stage; returns False where that cannot be written."""
-        self.backends.note_order(backend, stage)
-        unsaved = self.backends.unsaved()
-        return unsaved is None or self._save(unsaved)
+    def record_stage_order(self, backend: str, stage: str) -> bool:
+        """Commits that an engine has an order to change to `stage`; returns False when that fails."""
+        self.backends.record_stage_order(backend, stage)
+        records = self.backends.records_to_save()
+        return records is None or self._save_records(records)
 
-    def _save(self, backends: list[Any]) -> bool:
+    def _save_records(self, backends: list[Any]) -> bool:
         self._saved_at = self._clock.monotonic()
         try:
             self._propose(messages.PutBackends(backends))
@@ -236,15 +231,16 @@
         return True
 
     def balance(self) -> None:
-        """Keeps prefill and decode engines in proportion; waits for the engine that it gives an order to."""
-        self.stages.tick(self._term if self._log.is_leader() else None)
+        """Balances prefill and decode engines; blocks while an engine answers an order."""
+        self.stage_keeper.tick(self._term if self._log.is_leader() else None)
 
-    def _enter_term(self) -> bool:
+    def _update_term(self) -> bool:
+        """Resets the soft state at the start of a term as leader; returns whether this VM leads."""
         term = self._log.status().term if self._log.is_leader() else None
         with self._term_lock:
             if term is not None and term != self._term:
                 self.backends.begin_term()
-                self.backends.recall()
+                self.backends.restore_roster()
                 self.entries.begin_term()
                 self._buckets.reset()
                 self.places.begin_term(term)
@@ -255,38 +251,38 @@
         return term is not None
 
     def _configuration(self) -> SiteConfiguration | None:
-        """Returns the decoded document, None before the first one."""
+        """Returns the decoded configuration, None before the first document."""
         version, body = self._state.document.held()
-        if version != self._decoded[0]:
-            self._decoded = (version, self._decode_document(zlib.decompress(body)))
-        return self._decoded[1]
+        if version != self._decoded_document[0]:
+            self._decoded_document = (version, self._decode_document(zlib.decompress(body)))
+        return self._decoded_document[1]
 
-    def _limits(self, workspace: str) -> Limits | None:
+    def _limits_of(self, workspace: str) -> Limits | None:
         configuration = self._configuration()
         known = configuration.workspaces_by_name.get(workspace) if configuration else None
         return known.limits if known else None
 
-    def _engine(self, service: str) -> Engine | None:
+    def _engine_of(self, service: str) -> Engine | None:
         configuration = self._configuration()
         known = configuration.services_by_name.get(service) if configuration else None
         return known.engine if known else None
 
-    def _check_leads(self) -> None:
-        if not self._log.is_leader() or not self._enter_term():
+    def _require_leadership(self) -> None:
+        if not self._log.is_leader() or not self._update_term():
             leader = self._log.status().leader
             raise messages.Refused("not_leader", f"not the leader, try {leader or 'another'}", leader=leader)
 
-    def _confirm(self) -> None:
+    def _confirm_leadership(self) -> None:
         try:
-            self._log.confirm(_CONFIRM_S)
+            self._log.confirm(_CONFIRM_TIMEOUT_S)
         except NotLeaderError as error:
             raise messages.Refused("not_leader", str(error), leader=error.leader) from None
         except LogUnavailableError as error:
             raise messages.Refused("unavailable", str(error)) from None
 
 
-class _Engines(EngineRegister):
-    """The engines of a site, for the keeper of their stages."""
+class _SiteEngineRegistry(EngineRegistry):
+    """Gives the `StageKeeper` access to the backend servers of a `SiteService`."""
 
     def __init__(self, service: SiteService):
         self._service = service
@@ -294,8 +290,8 @@
     def records(self) -> list[Any]:
         return self._service.backends.records()
 
-    def note_order(self, backend: str, stage: str) -> bool:
-        return self._service.note_stage_order(backend, stage)
+    def record_stage_order(self, backend: str, stage: str) -> bool:
+        return self._service.record_stage_order(backend, stage)
 
 
 def _spend_report(request: Any) -> SpendReport:
--- a/libs/arbutusrill_site/tests/test_backends.py
+++ b/libs/arbutusrill_site/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""Guards against late, reordered and reused announcements."""
+"""Tests of the backend registry with late, reordered and repeated announcements."""
 
 import threading
 
@@ -34,13 +34,13 @@
     return BackendRegistry(clock, 6.0, threading.Condition(), departures, roster)
 
 
-def test_announcement_that_comes_late_changes_nothing(registry):
+def test_outdated_announcement_is_rejected(registry):
     registry.announce(record(sequence=5, draining=True))
     assert not registry.announce(record(sequence=4))
     assert registry.records()[0].draining
 
 
-def test_revision_moves_only_with_what_followers_have_to_know(registry):
+def test_revision_changes_only_with_fields_that_followers_use(registry):
     registry.announce(record(sequence=1))
     before = registry.revision
     registry.announce(record(sequence=2))
@@ -56,14 +56,14 @@
     assert [row.id for row in registry.records()] == ["new"]
 
 
-def test_server_that_starts_again_under_its_id_is_a_new_one(registry):
+def test_restart_under_the_same_id_supersedes_the_earlier_start(registry):
     registry.announce(record(started=100, sequence=50))
     assert registry.announce(record(started=200, sequence=1))
     registry.remove("a", 100)
     assert [row.started_ms for row in registry.records()] == [200]
 
 
-def test_departure_is_remembered_by_the_next_leader(registry, departures):
+def test_departure_survives_a_change_of_leader(registry, departures):
     registry.announce(record(sequence=3))
     departures.put(messages.PutDeparture("a", 100, 2**62))
     registry.remove("a", 100)
@@ -72,7 +72,7 @@
     assert registry.announce(record(started=200, sequence=1))
 
 
-def test_silent_server_is_dropped_and_a_new_leader_is_complete_only_after_that_time(registry, clock):
+def test_silent_server_is_dropped_and_registry_is_complete_only_after_the_timeout(registry, clock):
     registry.announce(record())
     registry.begin_term()
     registry.expire()
@@ -83,57 +83,57 @@
     assert registry.complete and not registry.records()
 
 
-def test_new_leader_begins_with_the_servers_that_the_last_one_wrote_down(registry, roster, clock):
+def test_new_leader_starts_with_the_roster_of_the_previous_one(registry, roster, clock):
     registry.announce(record("a", sequence=3))
     registry.announce(record("b", sequence=3, address="10.0.0.2:80"))
-    roster.put(registry.unsaved())
-    assert registry.unsaved() is None
+    roster.put(registry.records_to_save())
+    assert registry.records_to_save() is None
     registry.begin_term()
-    registry.recall()
+    registry.restore_roster()
     assert {row.id for row in registry.records()} == {"a", "b"}
     clock.advance(5.0)
     registry.announce(record("a", sequence=4))
     clock.advance(2.0)
     registry.expire()
     assert [row.id for row in registry.records()] == ["a"]
-    assert [row.id for row in registry.unsaved()] == ["a"]
+    assert [row.id for row in registry.records_to_save()] == ["a"]
 
 
-def test_server_that_has_left_or_was_heard_again_is_not_recalled(registry, roster, departures):
-    roster.put([record("left"), record("back", sequence=9, address="10.0.0.2:80")])
-    departures.put(messages.PutDeparture("left", 100, 2**62))
+def test_departed_or_restarted_server_is_not_restored_from_the_roster(registry, roster, departures):
+    roster.put([record("departed"), record("restarted", sequence=9, address="10.0.0.2:80")])
+    departures.put(messages.PutDeparture("departed", 100, 2**62))
     registry.begin_term()
-    registry.announce(record("back", started=200, sequence=1, address="10.0.0.2:80"))
-    registry.recall()
-    assert [(row.id, row.started_ms) for row in registry.records()] == [("back", 200)]
+    registry.announce(record("restarted", started=200, sequence=1, address="10.0.0.2:80"))
+    registry.restore_roster()
+    assert [(row.id, row.started_ms) for row in registry.records()] == [("restarted", 200)]
 
 
 def engine(sequence=1, started=100, stage="prefill"):
     return messages.BackendRecord("e", started, sequence, "model", "10.0.0.9:80", "z1", 64, False, stage, [])
 
 
-def test_order_to_change_the_stage_is_known_until_the_engine_has_changed(registry):
+def test_stage_order_is_kept_until_the_engine_announces_the_stage(registry):
     registry.announce(engine())
-    registry.note_order("e", "decode")
+    registry.record_stage_order("e", "decode")
     registry.announce(engine(2))
     assert registry.records()[0].ordered_stage == "decode"
     registry.announce(engine(3, stage="decode"))
     assert registry.records()[0].ordered_stage == ""
 
 
-def test_engine_that_has_started_again_knows_no_order(registry):
+def test_restart_of_an_engine_clears_its_stage_order(registry):
     registry.announce(engine())
-    registry.note_order("e", "decode")
+    registry.record_stage_order("e", "decode")
     registry.announce(engine(started=200))
     assert registry.records()[0].ordered_stage == ""
 
 
-def test_next_leader_knows_the_orders_that_were_written_down(registry, roster):
-    # It gave prefills to an engine that rejected all of them for six seconds.
+def test_stage_order_in_the_roster_survives_a_change_of_leader(registry, roster):
+    # A leader without the order assigned prefills to a switching engine, which rejected all of them for six seconds.
     registry.announce(engine())
-    registry.note_order("e", "decode")
-    roster.put([messages.BackendRecord(**vars(record)) for record in registry.unsaved()])
+    registry.record_stage_order("e", "decode")
+    roster.put([messages.BackendRecord(**vars(record)) for record in registry.records_to_save()])
     registry.begin_term()
-    registry.recall()
+    registry.restore_roster()
     registry.announce(engine(2))
     assert registry.records()[0].ordered_stage == "decode"
--- a/libs/arbutusrill_site/tests/test_places.py
+++ b/libs/arbutusrill_site/tests/test_places.py
@@ -1,4 +1,4 @@
-"""Guards against engines that are overfilled, unfair lines and places that are never freed."""
+"""Tests of the place ledger: overcommitted engines, unfair queueing and places that are never freed."""
 
 import threading
 import time
@@ -20,7 +20,7 @@
     return PlaceLedger(clock or SystemClock(), lambda: list(records), lambda service: Engine(16, tokens, 0.5))
 
 
-def wanted(request, tokens=400, wait_ms=0, late_in_ms=900, patience_ms=5000, **more):
+def place_request(request, tokens=400, wait_ms=0, late_in_ms=900, patience_ms=5000, **more):
     return messages.PlaceRequest(
         "vm", 1, request, "model", "", tokens, tokens, wait_ms, late_in_ms, True, [], patience_ms, **more
     )
@@ -30,18 +30,18 @@
     return messages.FreePlace("vm", 1, place, [])
 
 
-def test_memory_of_an_engine_is_given_out_once():
+def test_memory_of_an_engine_is_not_overcommitted():
     places = ledger(engine("d"))
-    first, second, third = (places.place(wanted(name)) for name in "abc")
+    first, second, third = (places.place(place_request(name)) for name in "abc")
     assert first.place and second.place
     assert not third.place and third.wait_ms > 0
     places.free(freed(first.place))
-    assert places.place(wanted("c")).decode == "d"
+    assert places.place(place_request("c")).decode == "d"
 
 
-def test_prompt_larger_than_an_engine_gets_an_empty_one():
+def test_prompt_larger_than_an_engine_gets_an_idle_engine():
     places = ledger(engine("d"))
-    assert places.place(wanted("a", tokens=5000)).decode == "d"
+    assert places.place(place_request("a", tokens=5000)).decode == "d"
 
 
 def test_draining_switching_and_avoided_engines_are_not_chosen():
@@ -52,16 +52,16 @@
         lambda: [engine("leaving", draining=True), switching, engine("bad"), engine("good")],
         lambda service: Engine(8, 1000, 0.5),
     )
-    request = wanted("a")
+    request = place_request("a")
     request.avoid = ["bad"]
     assert places.place(request).decode == "good"
 
 
-def test_request_that_waits_gets_the_place_that_comes_free():
+def test_waiting_request_gets_a_freed_place():
     places = ledger(engine("d"))
-    held = [places.place(wanted(name)) for name in "ab"]
+    held = [places.place(place_request(name)) for name in "ab"]
     answers = []
-    waiting = threading.Thread(target=lambda: answers.append(places.place(wanted("c", wait_ms=2000))))
+    waiting = threading.Thread(target=lambda: answers.append(places.place(place_request("c", wait_ms=2000))))
     waiting.start()
     time.sleep(0.05)
     places.free(freed(held[0].place))
@@ -69,40 +69,40 @@
     assert answers[0].decode == "d"
 
 
-def test_request_that_asks_again_keeps_its_turn_and_late_ones_wait_behind():
+def test_polling_request_keeps_its_position_and_late_requests_follow():
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock)
-    held = [places.place(wanted(name)) for name in "ab"]
-    assert not places.place(wanted("late", late_in_ms=0)).place
-    assert not places.place(wanted("first")).place
-    assert not places.place(wanted("second")).place
+    held = [places.place(place_request(name)) for name in "ab"]
+    assert not places.place(place_request("late", late_in_ms=0)).place
+    assert not places.place(place_request("first")).place
+    assert not places.place(place_request("second")).place
     places.free(freed(held[0].place))
-    assert not places.place(wanted("second")).place
-    assert not places.place(wanted("late", late_in_ms=0)).place
-    assert places.place(wanted("first")).place
+    assert not places.place(place_request("second")).place
+    assert not places.place(place_request("late", late_in_ms=0)).place
+    assert places.place(place_request("first")).place
 
 
-def test_caller_that_comes_back_is_late_from_its_first_try_and_new_callers_are_not():
+def test_deadline_of_a_retried_request_counts_from_its_first_attempt():
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock)
-    held = [places.place(wanted(name)) for name in "ab"]
-    assert places.place(wanted("try-1", patience_ms=100, content=7)).decode == "d"  # in the engine's own queue
-    assert places.place(wanted("try-2", patience_ms=100, content=8)).refused
+    held = [places.place(place_request(name)) for name in "ab"]
+    assert places.place(place_request("try-1", patience_ms=100, content=7)).decode == "d"  # in the queue of the engine
+    assert places.place(place_request("try-2", patience_ms=100, content=8)).refused
     clock.advance(1.5)
-    assert not places.place(wanted("try-3", content=8)).place
-    assert not places.place(wanted("new", content=9)).place
+    assert not places.place(place_request("try-3", content=8)).place
+    assert not places.place(place_request("new", content=9)).place
     places.free(freed(held[0].place))
     places.free(freed(held[1].place))
-    assert not places.place(wanted("try-3", content=8)).place
-    assert places.place(wanted("new", content=9)).place
+    assert not places.place(place_request("try-3", content=8)).place
+    assert places.place(place_request("new", content=9)).place
 
 
-def test_shortest_request_that_can_meet_its_objective_comes_first():
+def test_shortest_job_within_its_deadline_comes_first():
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock)
-    held = [places.place(wanted(name)) for name in "ab"]
-    short = wanted("short", tokens=400)
-    long = wanted("long", tokens=400)
+    held = [places.place(place_request(name)) for name in "ab"]
+    short = place_request("short", tokens=400)
+    long = place_request("long", tokens=400)
     short.prompt_tokens, long.prompt_tokens = 350, 100
     assert not places.place(long).place
     assert not places.place(short).place
@@ -114,20 +114,20 @@
 def test_request_whose_prefill_cannot_end_in_time_counts_as_late():
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock, tokens=20000)
-    held = places.place(wanted("a", tokens=18000))
-    assert not places.place(wanted("hopeless", tokens=10000, late_in_ms=300)).place
-    assert not places.place(wanted("in-time", tokens=2000, late_in_ms=900)).place
+    held = places.place(place_request("a", tokens=18000))
+    assert not places.place(place_request("too-late", tokens=10000, late_in_ms=300)).place
+    assert not places.place(place_request("in-time", tokens=2000, late_in_ms=900)).place
     places.free(freed(held.place))
-    assert not places.place(wanted("hopeless", tokens=10000, late_in_ms=300)).place
-    assert places.place(wanted("in-time", tokens=2000, late_in_ms=900)).place
+    assert not places.place(place_request("too-late", tokens=10000, late_in_ms=300)).place
+    assert places.place(place_request("in-time", tokens=2000, late_in_ms=900)).place
 
 
-def test_memory_that_is_free_before_it_is_filled_is_given_out():
+def test_memory_released_before_it_is_needed_is_reserved_again():
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock, tokens=1000)
 
     def streamed(name):
-        request = wanted(name, tokens=400)
+        request = place_request(name, tokens=400)
         request.prompt_tokens = 50
         return places.place(request).place
 
@@ -139,177 +139,179 @@
     assert streamed("c") and not streamed("d")
 
 
-def test_request_whose_engine_has_failed_comes_before_the_other_late_ones():
+def test_request_of_a_failed_engine_precedes_other_late_requests():
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock)
-    held = [places.place(wanted(name)) for name in "ab"]
-    assert not places.place(wanted("late", late_in_ms=0)).place
-    assert not places.place(wanted("failed", late_in_ms=0, continued=True)).place
-    assert not places.place(wanted("in-time")).place
+    held = [places.place(place_request(name)) for name in "ab"]
+    assert not places.place(place_request("late", late_in_ms=0)).place
+    assert not places.place(place_request("failed", late_in_ms=0, continued=True)).place
+    assert not places.place(place_request("in-time")).place
     for place, name in zip(held, ("in-time", "failed"), strict=True):
         places.free(freed(place.place))
-        assert not places.place(wanted("late", late_in_ms=0)).place
-        assert places.place(wanted(name, late_in_ms=0 if name == "failed" else 900, continued=name == "failed")).place
+        assert not places.place(place_request("late", late_in_ms=0)).place
+        assert places.place(
+            place_request(name, late_in_ms=0 if name == "failed" else 900, continued=name == "failed")
+        ).place
 
 
-def test_request_that_is_slow_to_ask_again_does_not_hold_up_the_others():
+def test_request_that_polls_late_does_not_block_those_behind_it():
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock)
-    held = [places.place(wanted(name)) for name in "ab"]
-    assert not places.place(wanted("slow")).place
-    assert not places.place(wanted("behind")).place
+    held = [places.place(place_request(name)) for name in "ab"]
+    assert not places.place(place_request("slow")).place
+    assert not places.place(place_request("behind")).place
     clock.advance(0.1)
     places.free(freed(held[0].place))
-    assert places.place(wanted("behind")).place
+    assert places.place(place_request("behind")).place
 
 
-def test_request_whose_patience_has_ended_leaves_the_line():
+def test_request_whose_patience_has_ended_leaves_the_queue():
     places = ledger(engine("d"))
-    held = [places.place(wanted(name)) for name in "ab"]
+    held = [places.place(place_request(name)) for name in "ab"]
     places.free(freed(held[1].place))
     places.free(freed(held[0].place))
-    held = [places.place(wanted(name)) for name in "ab"]
-    ended = wanted("ended", wait_ms=1200, patience_ms=1200)
+    held = [places.place(place_request(name)) for name in "ab"]
+    ended = place_request("ended", wait_ms=1200, patience_ms=1200)
     assert not places.place(ended).place
     places.free(freed(held[0].place))
-    assert places.place(wanted("behind")).place
+    assert places.place(place_request("behind")).place
 
 
-def test_request_that_would_wait_beyond_its_patience_goes_to_an_engines_queue_or_is_refused_at_once():
+def test_request_with_too_long_an_expected_wait_is_queued_at_an_engine_or_refused():
     places = ledger(engine("d"))
     for name in "ab":
-        places.place(wanted(name))
-    queued = places.place(wanted("c", patience_ms=100))
+        places.place(place_request(name))
+    queued = places.place(place_request("c", patience_ms=100))
     assert queued.decode == "d" and queued.prefill == ""
-    answer = places.place(wanted("d", patience_ms=100))
+    answer = places.place(place_request("d", patience_ms=100))
     assert answer.refused and answer.wait_ms > 100
     places.free(freed(queued.place))
-    assert places.place(wanted("e", patience_ms=100)).decode == "d"
+    assert places.place(place_request("e", patience_ms=100)).decode == "d"
 
 
-def test_memory_of_a_request_in_an_engines_queue_is_counted():
+def test_memory_of_a_request_in_the_queue_of_an_engine_is_counted():
     places = ledger(engine("d"))
-    held = [places.place(wanted(name)) for name in "ab"]
-    assert places.place(wanted("c", patience_ms=100)).decode == "d"
+    held = [places.place(place_request(name)) for name in "ab"]
+    assert places.place(place_request("c", patience_ms=100)).decode == "d"
     places.free(freed(held[0].place))
-    # One of two has left and the queued one has taken its memory.
-    assert not places.place(wanted("e")).place
+    # The request queued at the engine takes the memory that was freed.
+    assert not places.place(place_request("e")).place
 
 
-def test_turn_of_a_request_that_has_gone_silent_is_lost():
+def test_ticket_of_a_request_that_stopped_polling_expires():
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock)
-    held = [places.place(wanted(name)) for name in "ab"]
-    places.place(wanted("gone"))
-    places.place(wanted("here"))
+    held = [places.place(place_request(name)) for name in "ab"]
+    places.place(place_request("expired"))
+    places.place(place_request("polling"))
     clock.advance(1.0)
     places.free(freed(held[0].place))
-    assert places.place(wanted("here")).place
+    assert places.place(place_request("polling")).place
 
 
-def test_place_that_its_holder_does_not_report_is_freed_and_reported_ones_are_kept_after_a_change_of_leader():
+def test_unreported_place_is_freed_and_reported_ones_survive_a_change_of_leader():
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock)
-    place = places.place(wanted("a", tokens=900)).place
+    place = places.place(place_request("a", tokens=900)).place
     clock.advance(2.0)
-    places.report("vm", 1, [])
-    assert places.place(wanted("b", tokens=900)).place
+    places.reconcile_places("vm", 1, [])
+    assert places.place(place_request("b", tokens=900)).place
     places.begin_term(2)
-    places.report("vm", 1, [messages.HeldPlace(place, "d", 900)])
-    assert not places.place(wanted("c", tokens=900)).place
-
-
-def test_engine_that_one_entry_vm_cannot_reach_is_kept_from_all_until_it_is_heard_of():
-    # Dark engines look empty: after 1.5 s they were given places again, dozens a second, until they were dropped.
-    clock, dark = ManualClock(), engine("dark")
-    places = ledger(dark, clock=clock)
-    place = places.place(wanted("a")).place
-    places.free(messages.FreePlace("vm", 1, place, [], ["dark"]))
-    dark.sequence += 1
-    assert not places.place(wanted("b")).place
+    places.reconcile_places("vm", 1, [messages.HeldPlace(place, "d", 900)])
+    assert not places.place(place_request("c", tokens=900)).place
+
+
+def test_unresponsive_engine_is_excluded_for_all_entry_vms_until_it_announces_itself():
+    # Unreachable engines look idle: after 1.5 s they got dozens of places a second again, until they were dropped.
+    clock, unreachable = ManualClock(), engine("unreachable")
+    places = ledger(unreachable, clock=clock)
+    place = places.place(place_request("a")).place
+    places.free(messages.FreePlace("vm", 1, place, [], ["unreachable"]))
+    unreachable.sequence += 1
+    assert not places.place(place_request("b")).place
     clock.advance(2.0)
-    assert places.place(wanted("b")).place
-    places.free(messages.FreePlace("vm", 1, 0, [], ["dark"]))
+    assert places.place(place_request("b")).place
+    places.free(messages.FreePlace("vm", 1, 0, [], ["unreachable"]))
     clock.advance(2.0)
-    assert not places.place(wanted("c")).place
-    dark.started_ms, dark.sequence = dark.started_ms + 1, 1  # started again
-    assert places.place(wanted("c")).place
+    assert not places.place(place_request("c")).place
+    unreachable.started_ms, unreachable.sequence = unreachable.started_ms + 1, 1  # restarted
+    assert places.place(place_request("c")).place
 
 
-def test_news_of_an_engine_frees_no_place():
-    # Each one counted as a place that has come free, and waiting requests expected their turn too soon.
+def test_report_about_an_engine_does_not_count_as_a_release():
+    # Each report was counted as the release of a place, which made the expected wait too short.
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock)
     for name in "ab":
-        places.place(wanted(name))
-    expected_ms = places.place(wanted("c")).wait_ms
+        places.place(place_request(name))
+    expected_ms = places.place(place_request("c")).wait_ms
     for _ in range(20):
         places.free(messages.FreePlace("vm", 1, 0, [], ["other"]))
-    assert places.place(wanted("c")).wait_ms == expected_ms
+    assert places.place(place_request("c")).wait_ms == expected_ms
 
 
-def test_places_of_an_entry_vm_that_is_gone_are_freed():
+def test_places_of_a_dropped_entry_vm_are_freed():
     places = ledger(engine("d"))
-    places.place(wanted("a", tokens=900))
-    places.forget("vm", 1)
-    assert places.place(wanted("b", tokens=900)).place
+    places.place(place_request("a", tokens=900))
+    places.free_places_of("vm", 1)
+    assert places.place(place_request("b", tokens=900)).place
 
 
-def test_prefill_engine_that_is_behind_leaves_the_prompt_to_the_decode_engine():
+def test_decode_engine_runs_the_prefill_when_the_prefill_engines_are_overloaded():
     places = ledger(engine("d"), engine("p", "prefill"), tokens=10**9)
-    answers = [places.place(wanted(str(number), tokens=4000)) for number in range(12)]
+    answers = [places.place(place_request(str(number), tokens=4000)) for number in range(12)]
     assert answers[0].prefill == "p"
     assert answers[-1].prefill == "" and answers[-1].decode == "d"
 
 
 def busy_prefill_ledger(clock):
-    """A ledger whose only prefill engine is expected to be busy for longer than a decode engine needs for a prompt."""
+    """Returns a ledger whose only prefill engine is busy for longer than a decode engine takes for a prompt."""
     places = ledger(engine("d"), engine("p", "prefill"), clock=clock, tokens=10**9)
-    places.speeds.of("p", "prefill").busy_until = clock.monotonic() + 0.5
+    places.speeds.speed_of("p", "prefill").busy_until = clock.monotonic() + 0.5
     return places
 
 
-def test_decode_engine_reads_a_short_prompt_itself_while_the_prefill_engines_are_busy():
-    # In bursts, requests waited for a prefill engine for up to 0.75 s while decode engines had time to spare.
+def test_decode_engine_runs_a_short_prefill_while_the_prefill_engines_are_busy():
+    # In bursts, requests waited up to 0.75 s for a prefill engine while decode engines had spare capacity.
     clock = ManualClock()
     places = busy_prefill_ledger(clock)
-    assert places.place(wanted("running", tokens=10, event_gap_ms=300)).place
+    assert places.place(place_request("running", tokens=10, event_gap_ms=300)).place
     clock.advance(0.2)
-    assert places.place(wanted("new", tokens=2000, event_gap_ms=300)).prefill == ""
+    assert places.place(place_request("new", tokens=2000, event_gap_ms=300)).prefill == ""
 
 
-def test_decode_engine_reads_no_prompt_that_makes_its_streams_pause_for_too_long():
+def test_decode_engine_runs_no_prefill_that_pauses_its_streams_for_too_long():
     clock = ManualClock()
     places = busy_prefill_ledger(clock)
-    assert places.place(wanted("running", tokens=10, event_gap_ms=300)).place
+    assert places.place(place_request("running", tokens=10, event_gap_ms=300)).place
     clock.advance(0.2)
-    assert places.place(wanted("long", tokens=3200, event_gap_ms=300)).prefill == "p"
+    assert places.place(place_request("long", tokens=3200, event_gap_ms=300)).prefill == "p"
     places = busy_prefill_ledger(clock)
-    assert places.place(wanted("running", tokens=10, event_gap_ms=300)).place
+    assert places.place(place_request("running", tokens=10, event_gap_ms=300)).place
     clock.advance(0.2)
-    assert places.place(wanted("first", tokens=1000, event_gap_ms=300)).prefill == ""
-    assert places.place(wanted("second", tokens=1000, event_gap_ms=300)).prefill == "p"
+    assert places.place(place_request("first", tokens=1000, event_gap_ms=300)).prefill == ""
+    assert places.place(place_request("second", tokens=1000, event_gap_ms=300)).prefill == "p"
 
 
-def test_reported_streams_are_spared_long_pauses_after_a_change_of_leader():
+def test_event_gaps_of_reported_places_are_kept_after_a_change_of_leader():
     places = busy_prefill_ledger(ManualClock())
-    places.report("vm", 1, [messages.HeldPlace(1, "d", 400, "model", 350, 500, 100)])
-    assert places.place(wanted("new", tokens=2000, event_gap_ms=300)).prefill == "p"
+    places.reconcile_places("vm", 1, [messages.HeldPlace(1, "d", 400, "model", 350, 500, 100)])
+    assert places.place(place_request("new", tokens=2000, event_gap_ms=300)).prefill == "p"
 
 
-def test_new_leader_counts_a_stream_by_what_it_fills_until_it_ends():
-    # With its whole memory until its end, a stream kept others from the engine for seconds after a change of leader.
+def test_new_leader_counts_reported_streams_by_their_forecast_memory():
+    # Counted with its full memory, a stream kept others from the engine for seconds after a change of leader.
     clock = ManualClock()
     places = ledger(engine("d"), clock=clock, tokens=1000)
     for number in range(20):
-        request = wanted(f"learn-{number}", tokens=400)
+        request = place_request(f"learn-{number}", tokens=400)
         request.prompt_tokens = 50
         held = places.place(request)
         places.free(messages.FreePlace("vm", 1, held.place, [messages.EngineSpeed("d", 6.0, 100)], []))
     clock.advance(10.0)
     places.begin_term(2)
     rows = [messages.HeldPlace(number, "d", 400, "model", 350, 5500) for number in (1, 2)]
-    places.report("vm", 1, rows)
-    request = wanted("new", tokens=400)
+    places.reconcile_places("vm", 1, rows)
+    request = place_request("new", tokens=400)
     request.prompt_tokens = 50
     assert places.place(request).place
