--- a/libs/arbutusrill_site/_backends.py
+++ b/libs/arbutusrill_site/_backends.py
@@ -129,7 +129,7 @@
         self._increment_revision()
 
     def record_stage_order(self, backend: str, stage: str) -> None:
-        """Sets the stage that an engine was ordered to change to, empty for none; its announcement of it clears it."""
+        """Sets the stage that an engine was ordered to change to, empty for none; the change of stage clears it."""
         with self._changed:
             known = self._record_by_id.get(backend)
             if known is not None and known.ordered_stage != stage:
--- a/libs/arbutusrill_site/_configuration.py
+++ b/libs/arbutusrill_site/_configuration.py
@@ -26,7 +26,7 @@
 
 
 class RouteKind(enum.Enum):
-    """How often a request of a route may run, and whether its response is a stream."""
+    """Retry semantics of the requests of a route; see `Route.repeatable`."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -119,10 +119,10 @@
     """One version of the configuration of a site. Without workspaces, requests need no API key.
 
     >>> route = Route("r", "a.example", "/x/", RouteKind.IDEMPOTENT, 1.0, 0.1, (Target("s", 1.0),))
-    >>> made = SiteConfiguration.build(1, [route], [Service("s")], {}, [])
-    >>> made.route_of("A.example:80", "/x/y").name
+    >>> configuration = SiteConfiguration.build(1, [route], [Service("s")], {}, [])
+    >>> configuration.route_of("A.example:80", "/x/y").name
     'r'
-    >>> made.route_of("a.example", "/xy") is None
+    >>> configuration.route_of("a.example", "/xy") is None
     True
     """
 
--- a/libs/arbutusrill_site/_places.py
+++ b/libs/arbutusrill_site/_places.py
@@ -63,7 +63,7 @@
     """Engine that refused a connection or exceeded the time limit of a prefill."""
 
     excluded_until: float  # monotonic clock
-    announcement: tuple[int, int]  # the latest one before the report
+    announcement: tuple[int, int]  # key of the latest one before the report
 
 
 class PlaceLedger:
@@ -309,13 +309,13 @@
         record_by_id = {record.id: record for record in self._backends()}
         known = {id_: row for id_, row in self._unresponsive_by_id.items() if id_ in record_by_id}
         for id_ in record_by_id.keys() & set(engines):
-            known[id_] = _UnresponsiveEngine(excluded_until, _announcement(record_by_id[id_]))
+            known[id_] = _UnresponsiveEngine(excluded_until, _announcement_key(record_by_id[id_]))
         self._unresponsive_by_id = known
 
     def _is_responsive(self, record: Any, now: float) -> bool:
-        """Whether an engine may be used: an excluded one is again after the exclusion and a newer announcement."""
+        """Whether an engine may be used: an excluded one only after the exclusion and a newer announcement."""
         row = self._unresponsive_by_id.get(record.id)
-        return row is None or (now >= row.excluded_until and _announcement(record) > row.announcement)
+        return row is None or (now >= row.excluded_until and _announcement_key(record) > row.announcement)
 
     def reconcile_places(self, vm: str, incarnation: int, held: list[Any]) -> None:
         """Reconciles the places of an entry VM with its report.
@@ -350,7 +350,8 @@
             self._places_changed.notify_all()
 
 
-def _announcement(record: Any) -> tuple[int, int]:
+def _announcement_key(record: Any) -> tuple[int, int]:
+    """Returns the sort key of announcements of one server."""
     return record.started_ms, record.sequence
 
 
--- a/libs/arbutusrill_site/_speeds.py
+++ b/libs/arbutusrill_site/_speeds.py
@@ -152,7 +152,7 @@
     def learn_request(self, service: str, prompt_tokens: int, output_tokens: int, engine_tokens: int) -> None:
         """Learns the engine time that a new request is expected to need.
 
-        A stream occupies the part of a decode engine that its mean memory takes of `engine_tokens`.
+        Decoding is weighted by the share of the KV cache of `engine_tokens` that the stream occupies on average.
         """
         with self._lock:
             work = self._work(service)
