--- a/libs/arbutusrill_site/_places.py
+++ b/libs/arbutusrill_site/_places.py
@@ -24,7 +24,7 @@
 __all__ = ["PlaceLedger"]
 
 _MAX_SLOWNESS_FACTOR = 3.0  # bounds the weight of speed against memory use, in both directions
-_MAX_PREFILL_S = 0.75  # when no prefill engine ends within it, the decode engine runs the prefill
+_MAX_PREFILL_S = 0.75  # when no prefill engine ends within it, the decode engine runs the prefill despite its streams
 _FIRST_EVENT_DELAY_S = 0.12  # from the end of the prefill to the first event at the caller
 _UNRESPONSIVE_EXCLUSION_S = 1.5  # shortest exclusion of an engine that did not answer an entry VM
 _USABLE_MEMORY_FRACTION = 0.92  # of the KV cache memory of an engine
