--- a/libs/arbutusrill_gateway/__init__.py
+++ b/libs/arbutusrill_gateway/__init__.py
@@ -1,23 +1,23 @@
-"""Gateway for opaque requests: routes, placement, attempts, and the relay of answers and streams."""
+"""Reverse proxy for opaque requests: routing, admission, backend selection, retries and response streaming."""
 
 from ._backends import BackendPool, Candidate
 from ._gateway import Gateway
 from ._metrics import GatewayMetrics
-from ._places import Places
-from ._protocol import Answer, BackendProtocol, CallerRequest, Prefilled, Send
+from ._placement import PlacementClient
+from ._protocol import BackendProtocol, BackendRequest, CallerRequest, KvCacheHandle, ResponseHead
 from ._reply import Refusal, Responder
 
 __all__ = [
-    "Answer",
     "BackendPool",
     "BackendProtocol",
+    "BackendRequest",
     "CallerRequest",
     "Candidate",
     "Gateway",
     "GatewayMetrics",
-    "Places",
-    "Prefilled",
+    "KvCacheHandle",
+    "PlacementClient",
     "Refusal",
     "Responder",
-    "Send",
+    "ResponseHead",
 ]
--- a/libs/arbutusrill_gateway/_attempt.py
+++ b/libs/arbutusrill_gateway/_attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one backend server, and what came of it."""
+"""A single attempt to send a request to a backend server, and its outcome."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from arbutusrill_http import Transfer, TransferResult, fetch
 
 from ._backends import Candidate
-from ._protocol import Answer, BackendProtocol, CallerRequest, Send
+from ._protocol import BackendProtocol, BackendRequest, CallerRequest, ResponseHead
 
-__all__ = ["Attempt", "Outcome", "attempt"]
+__all__ = ["AttemptResult", "Outcome", "send_attempt"]
 
-_CONNECT_S = 0.12  # a KV cache that waits to be taken lives for half a second
-_BROKEN_STATUS = (408, 421, 429, 503)  # promises that a backend server makes only together with its statement
+_CONNECT_TIMEOUT_S = 0.12  # leaves time for a second engine: an unfetched KV cache expires after 0.5 s
+# Statuses that tell a caller that its request has not run. They are trusted only if the backend server states so.
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class Outcome(enum.Enum):
-    """How one send ended."""
+    """How an attempt ended."""
 
-    ANSWERED = "answered"  # a whole answer to this request
+    ANSWERED = "answered"  # a complete response to this request
     REJECTED = "rejected"  # the backend server states that it has not run the request
-    UNREACHED = "unreached"  # nothing was sent
-    BROKEN = "broken"  # no whole answer; the request may have run
-    TIMEOUT = "timeout"  # the same, for want of time
-    GONE = "gone"  # the caller has left
+    UNREACHED = "unreached"  # no connection, so nothing was sent
+    BROKEN = "broken"  # no complete or valid response; the request may have run
+    TIMEOUT = "timeout"  # no complete response in time; the request may have run
+    GONE = "gone"  # the caller disconnected
 
     @property
     def verdict(self) -> Verdict:
@@ -38,39 +39,42 @@
 
 
 @dataclass(slots=True)
-class Attempt:
-    """A finished send. `answer` is None without the head of an answer."""
+class AttemptResult:
+    """Result of a finished attempt. `response` is None if no response head was received."""
 
     outcome: Outcome
-    answer: Answer | None
+    response: ResponseHead | None
     body: bytes
     detail: str
     took_s: float
 
 
-def attempt(
+def send_attempt(
     protocol: BackendProtocol,
     request: CallerRequest,
-    send: Send,
+    backend_request: BackendRequest,
     candidate: Candidate,
     timeout_s: float,
     stall_s: float | None = None,
     on_head: Callable[[int, dict[str, str]], None] | None = None,
     on_data: Callable[[bytes], None] | None = None,
-) -> Attempt:
-    """Sends `request` to the candidate over a connection of its own and waits for the end of the answer.
+) -> AttemptResult:
+    """Sends `request` to `candidate` over a new connection and waits for the end of the response.
 
-    A new connection for each send rules out that libcurl resends a request by itself, and that an answer left over
-    from an earlier request is read.
+    Connections are not reused: libcurl would silently resend a request over a reused connection that turns out to be
+    closed, and the response to an earlier request could be read from it.
     """
     transfer = Transfer(
         request.method,
         f"http://{candidate.address}{request.target}",
-        [f"{name}: {value}" if value else f"{name};" for name, value in protocol.headers(request, send)],
+        [
+            f"{name}: {value}" if value else f"{name};"
+            for name, value in protocol.request_headers(request, backend_request)
+        ],
         request.body,
         timeout_s,
         stall_s,
-        min(_CONNECT_S, timeout_s),
+        min(_CONNECT_TIMEOUT_S, timeout_s),
         fresh=True,
         plain=True,
         watched=request.connection,
@@ -80,26 +84,28 @@
     started = time.monotonic()
     result = fetch(transfer)
     took_s = time.monotonic() - started
-    answer = protocol.answer(result.status, result.headers_by_name) if result.status else None
-    outcome, detail = _outcome(request, send, result, answer)
-    return Attempt(outcome, answer, result.body, detail, took_s)
+    response = protocol.decode_response(result.status, result.headers_by_name) if result.status else None
+    outcome, detail = _outcome(request, backend_request, result, response)
+    return AttemptResult(outcome, response, result.body, detail, took_s)
 
 
-def _outcome(request: CallerRequest, send: Send, result: TransferResult, answer: Answer | None) -> tuple[Outcome, str]:
+def _outcome(
+    request: CallerRequest, backend_request: BackendRequest, result: TransferResult, response: ResponseHead | None
+) -> tuple[Outcome, str]:
     if result.error == "gone":
         return Outcome.GONE, result.detail
-    if answer is not None and answer.request_id not in ("", request.id):
-        return Outcome.BROKEN, f"the answer is for request {answer.request_id}"
-    if answer is not None and answer.not_run:
-        return Outcome.REJECTED, f"status {answer.status}, not run"
+    if response is not None and response.request_id not in ("", request.id):
+        return Outcome.BROKEN, f"the answer is for request {response.request_id}"
+    if response is not None and response.not_run:
+        return Outcome.REJECTED, f"status {response.status}, not run"
     if result.whole:
-        if answer is None or answer.request_id != request.id:
+        if response is None or response.request_id != request.id:
             return Outcome.BROKEN, "the answer names no request"
-        if answer.status < 300 and not answer.stamped and not send.prefill:
+        if response.status < 300 and not response.stamped and not backend_request.prefill:
             return Outcome.BROKEN, "a success without the server's proof"
-        if answer.status in _BROKEN_STATUS:
-            return Outcome.BROKEN, f"status {answer.status} without the statement that it has not run"
-        return Outcome.ANSWERED, f"status {answer.status}"
+        if response.status in _NOT_RUN_STATUSES:
+            return Outcome.BROKEN, f"status {response.status} without the statement that it has not run"
+        return Outcome.ANSWERED, f"status {response.status}"
     if result.verdict is Verdict.NOT_RUN:
         return Outcome.UNREACHED, result.detail
     return (Outcome.TIMEOUT if result.error in ("timeout", "stall") else Outcome.BROKEN), result.detail
--- a/libs/arbutusrill_gateway/_exchange.py
+++ b/libs/arbutusrill_gateway/_exchange.py
@@ -1,4 +1,4 @@
-"""What the steps of one caller's request share."""
+"""State of one caller's request across its attempts."""
 
 from __future__ import annotations
 
@@ -9,23 +9,25 @@
 from arbutusrill_base import EventLog, Failure, FailureError, RetryBudget, Verdict
 from arbutusrill_site import Route, Service, Workspace
 
-from ._attempt import Attempt
+from ._attempt import AttemptResult
 from ._backends import BackendPool, Candidate
-from ._places import Places
-from ._protocol import BackendProtocol, CallerRequest, Send
+from ._placement import PlacementClient
+from ._protocol import BackendProtocol, BackendRequest, CallerRequest
 from ._reply import Refusal, Responder
 
 __all__ = ["Exchange"]
 
-_LEAST_S = 0.005  # with less time left a request is not sent any more
+_MIN_SEND_S = 0.005  # with less time remaining, no further attempt is sent
 _events = EventLog("attempt")
 
 
 @dataclass(slots=True)
 class Exchange:
-    """One caller's request with its route, workspace and what has happened to it so far.
+    """One caller's request with its route, its workspace and the results of its attempts so far.
 
-    `deadline` is on the monotonic clock. `sends` counts the sends to backend servers that count as attempts.
+    `deadline` and `started` are on the monotonic clock. `attempt_count` excludes prefills and attempts that reached no
+    backend server. `verdict` is the worst verdict of all attempts, `tried` holds the ids of backend servers to exclude,
+    and `trail` lists every attempt for the request log.
     """
 
     request: CallerRequest
@@ -35,11 +37,11 @@
     workspace: Workspace | None
     protocol: BackendProtocol
     pool: BackendPool
-    places: Places
+    placements: PlacementClient
     budget: RetryBudget
     deadline: float
     started: float
-    sends: int = 0
+    attempt_count: int = 0
     verdict: Verdict = Verdict.NOT_RUN
     tried: set[str] = field(default_factory=set)
     trail: list[str] = field(default_factory=list)
@@ -49,55 +51,55 @@
         """Seconds until the caller's deadline or the route's time limit, whichever comes first."""
         return self.deadline - time.monotonic()
 
-    def late_in_s(self) -> float:
-        """Seconds until the route's objective is missed, counted from when this VM received the request."""
+    def objective_remaining_s(self) -> float:
+        """Seconds until the request exceeds the route's latency objective, negative once it has."""
         return self.route.objective_s - (time.monotonic() - self.started)
 
     def has_time(self) -> bool:
-        """Whether a further send makes sense."""
-        return self.remaining_s() > _LEAST_S
+        """Whether enough time remains for another attempt."""
+        return self.remaining_s() > _MIN_SEND_S
 
-    def send(self, candidate: Candidate, **fields: Any) -> Send:
-        """Returns what to add to the caller's headers for a send to `candidate`."""
+    def backend_request(self, candidate: Candidate, **fields: Any) -> BackendRequest:
+        """Returns the values to add to the caller's request for an attempt at `candidate`."""
         workspace = self.workspace.name if self.workspace else ""
-        return Send(candidate.record, max(0.001, self.remaining_s()), workspace, **fields)
+        return BackendRequest(candidate.record, max(0.001, self.remaining_s()), workspace, **fields)
 
-    def note(self, candidate: Candidate, step: str, made: Attempt) -> None:
-        """Records how a send ended that may have run the request."""
-        self.verdict = self.verdict.worst(made.outcome.verdict)
-        self.note_prefill(candidate, made, step)
+    def record_attempt(self, candidate: Candidate, step: str, result: AttemptResult) -> None:
+        """Records the result of an attempt that may have run the request."""
+        self.verdict = self.verdict.worst(result.outcome.verdict)
+        self.record_prefill_attempt(candidate, result, step)
 
-    def note_prefill(self, candidate: Candidate, made: Attempt, step: str = "prefill") -> None:
-        """Records how a send ended that only reads the prompt: it never runs the request."""
-        self.trail.append(f"{step}:{candidate.id}:{made.outcome.value}")
+    def record_prefill_attempt(self, candidate: Candidate, result: AttemptResult, step: str = "prefill") -> None:
+        """Records the result of a prefill, which never runs the request and leaves the verdict unchanged."""
+        self.trail.append(f"{step}:{candidate.id}:{result.outcome.value}")
         _events.emit(
             "attempt",
             request=self.request.id,
             step=step,
             backend=candidate.id,
             address=candidate.address,
-            outcome=made.outcome.value,
-            detail=made.detail,
-            took_ms=round(made.took_s * 1000, 1),
+            outcome=result.outcome.value,
+            detail=result.detail,
+            took_ms=round(result.took_s * 1000, 1),
             expected_ms=round(candidate.expected_s * 1000, 1),
         )
 
-    def may_resend(self) -> bool:
-        """Whether the route and the retry budget allow one more send to a backend server."""
-        return self.sends < self.route.max_attempts and self.has_time() and self.budget.take()
+    def acquire_retry(self) -> bool:
+        """Takes one retry from the retry budget; returns whether the route, the time and the budget allow it."""
+        return self.attempt_count < self.route.max_attempts and self.has_time() and self.budget.take()
 
-    def refuse_unrun(self, code: str, message: str, retry_after: float) -> None:
-        """Answers that the request has not run, or that it may have when an earlier send is uncertain."""
+    def refuse_not_run(self, code: str, message: str, retry_after: float) -> None:
+        """Refuses with 503 (not run), or as uncertain if an earlier attempt may have run the request."""
         if self.verdict is Verdict.NOT_RUN:
             self.responder.refuse(Refusal(503, code, message, retry_after))
         else:
             self.refuse_uncertain(code, message)
 
     def refuse_uncertain(self, code: str, message: str) -> None:
-        """Answers that the request may have run."""
-        late = self.remaining_s() <= _LEAST_S
+        """Refuses with 502, or 504 after the deadline: the request may have run."""
+        late = self.remaining_s() <= _MIN_SEND_S
         self.responder.refuse(Refusal(504 if late else 502, code, message))
 
-    def gone(self) -> FailureError:
-        """Returns the error that ends the exchange when the caller has left."""
+    def caller_gone_error(self) -> FailureError:
+        """Returns the error that ends the exchange when the caller has disconnected."""
         return FailureError(Failure("caller_gone", "the caller has closed its connection", self.verdict, 499))
--- a/libs/arbutusrill_gateway/_gateway.py
+++ b/libs/arbutusrill_gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""Admission of callers' requests: route, key, rate, and the hand-over to the relays."""
+"""Admission of callers' requests: routing, authentication, rate limiting and dispatch to the relays."""
 
 from __future__ import annotations
 
@@ -16,65 +16,69 @@
 from ._backends import BackendPool
 from ._exchange import Exchange
 from ._metrics import GatewayMetrics
-from ._places import Places
+from ._placement import PlacementClient
 from ._plain import relay_plain
-from ._protocol import LEAST_RETRY_S, BackendProtocol, CallerRequest
+from ._protocol import MIN_RETRY_AFTER_S, BackendProtocol, CallerRequest
 from ._reply import Refusal, Responder
 from ._stream import relay_stream
 
 __all__ = ["Gateway"]
 
-_RETRY_S = 0.3
-_START_S = 1.0  # longest wait for the first configuration after a start
-_START_PART = 0.4  # the same as a part of the time that the caller waits
+_RETRY_AFTER_S = 0.3
+# Limits of the wait for the first configuration after a start; the fraction is of the caller's deadline.
+_MAX_CONFIGURATION_WAIT_S = 1.0
+_CONFIGURATION_WAIT_FRACTION = 0.4
 _events = EventLog("entry")
 
 
 class Gateway:
-    """Serves requests by the configuration in force.
+    """Serves requests according to the current configuration.
 
-    `retry_fraction` and `retry_reserve` bound the sends beyond the first of each request, by service, on this VM;
-    the reserve is a function, since the VMs that share the deployment's reserve come and go.
-    `stale_s`, where set, is the age of the view from which requests with a key are refused.
+    `retry_fraction` and `retry_reserve` are the parameters of this VM's retry budget for each service. The reserve is
+    a function because the number of VMs that share the deployment's reserve changes. If `max_view_age_s` is set,
+    requests that need a key are refused while the view is older, since revoked keys could still be accepted.
     """
 
     def __init__(
         self,
         view: SiteView,
         pool: BackendPool,
-        places: Places,
+        placements: PlacementClient,
         meter: FleetMeter,
         protocol: BackendProtocol,
         metrics: GatewayMetrics,
         retry_fraction: float,
         retry_reserve: Callable[[], float],
-        stale_s: float | None = None,
+        max_view_age_s: float | None = None,
     ):
         self._view = view
         self._pool = pool
-        self._places = places
+        self._placements = placements
         self._meter = meter
         self._protocol = protocol
         self._metrics = metrics
         self._retry_fraction = retry_fraction
         self._retry_reserve = retry_reserve
-        self._stale_s = stale_s
+        self._max_view_age_s = max_view_age_s
         self._lock = threading.Lock()
         self._budget_by_service: dict[str, RetryBudget] = {}
-        self._accepts_until = self._ends_at = math.inf  # set while this VM leaves
+        self._accepts_all_until = self._shutdown_at = math.inf  # finite once `drain` was called
 
-    def leave(self, accepts_s: float, ends_s: float) -> None:
-        """Refuses, from `accepts_s` seconds on, the requests that may last longer than `ends_s` seconds from now."""
+    def drain(self, accept_all_s: float, shutdown_s: float) -> None:
+        """Prepares for a shutdown in `shutdown_s` seconds.
+
+        Requests that arrive after `accept_all_s` seconds are refused if their time limit ends after the shutdown.
+        """
         now = time.monotonic()
-        self._ends_at, self._accepts_until = now + ends_s, now + accepts_s
+        self._shutdown_at, self._accepts_all_until = now + shutdown_s, now + accept_all_s
 
     def serve(self, request: CallerRequest, responder: Responder) -> None:
-        """Answers one request; raises `AbortStreamError` where the caller's connection has to be cut."""
+        """Serves one request; raises `AbortStreamError` if the caller's connection must be closed mid-response."""
         started = time.monotonic()
-        configuration = self._first_document(request)
+        configuration = self._wait_for_configuration(request)
         if configuration is None:
             self._refuse(
-                request, responder, Refusal(503, "no_configuration", "no configuration yet", _RETRY_S), started
+                request, responder, Refusal(503, "no_configuration", "no configuration yet", _RETRY_AFTER_S), started
             )
             return
         route = configuration.route_of(request.host, request.path)
@@ -82,21 +86,29 @@
             self._refuse(request, responder, Refusal(404, "no_route", "no route matches"), started)
             return
         workspace, refusal = self._authorize(configuration, route, request)
-        if refusal is None and started >= self._accepts_until and started + _limit_s(route, request) > self._ends_at:
-            refusal = Refusal(503, "leaving", "this VM ends before the answer might", LEAST_RETRY_S)
+        if (
+            refusal is None
+            and started >= self._accepts_all_until
+            and started + _time_limit_s(route, request) > self._shutdown_at
+        ):
+            refusal = Refusal(503, "leaving", "this VM ends before the answer might", MIN_RETRY_AFTER_S)
         if refusal is None:
-            refusal = self._charge(workspace, request)
+            refusal = self._charge_rate_limit(workspace, request)
         if refusal is not None:
             self._refuse(request, responder, refusal, started, route, workspace)
             return
         self._relay(configuration, route, workspace, request, responder, started)
 
-    def _first_document(self, request: CallerRequest) -> SiteConfiguration | None:
-        """Returns the configuration; just after a start, waits for it as long as the caller can still be served."""
+    def _wait_for_configuration(self, request: CallerRequest) -> SiteConfiguration | None:
+        """Returns the configuration, or None if none arrives in time; after a start, waits for the first one."""
         view = self._view
         if view.document is None:
-            patience_s = _START_S if request.deadline_s is None else _START_PART * request.deadline_s
-            view.wait_for(lambda: view.document is not None, min(_START_S, patience_s))
+            max_wait_s = (
+                _MAX_CONFIGURATION_WAIT_S
+                if request.deadline_s is None
+                else _CONFIGURATION_WAIT_FRACTION * request.deadline_s
+            )
+            view.wait_for(lambda: view.document is not None, min(_MAX_CONFIGURATION_WAIT_S, max_wait_s))
         return view.document
 
     def _authorize(
@@ -104,17 +116,17 @@
     ) -> tuple[Workspace | None, Refusal | None]:
         if not configuration.workspaces_by_name or route.public:
             return None, None
-        if self._stale_s is not None and self._view.age_s() > self._stale_s:
-            return None, Refusal(503, "stale", "keys cannot be checked at the moment", _RETRY_S)
+        if self._max_view_age_s is not None and self._view.age_s() > self._max_view_age_s:
+            return None, Refusal(503, "stale", "keys cannot be checked at the moment", _RETRY_AFTER_S)
         workspace = configuration.workspace_by_key.get(request.key)
         if workspace is None:
             return None, Refusal(401, "unknown_key", "the key is missing or unknown")
         return workspace, None
 
-    def _charge(self, workspace: Workspace | None, request: CallerRequest) -> Refusal | None:
+    def _charge_rate_limit(self, workspace: Workspace | None, request: CallerRequest) -> Refusal | None:
         if workspace is None or workspace.limits is None:
             return None
-        tokens = _cost(workspace, request)
+        tokens = _cost_tokens(workspace, request)
         decision = self._meter.admit(workspace.name, tokens, workspace.limits)
         if decision.wait_s <= 0:
             return None
@@ -129,7 +141,7 @@
             level_age_ms=round(decision.age_s * 1000) if math.isfinite(decision.age_s) else None,
         )
         message = f"workspace {workspace.name} has spent its rate"
-        return Refusal(429, "rate_limited", message, max(LEAST_RETRY_S, decision.wait_s))
+        return Refusal(429, "rate_limited", message, max(MIN_RETRY_AFTER_S, decision.wait_s))
 
     def _relay(
         self,
@@ -141,8 +153,8 @@
         started: float,
     ) -> None:
         service = configuration.services_by_name[route.pick_service()]
-        limit_s = _limit_s(route, request)
-        budget = self._budget(service.name)
+        limit_s = _time_limit_s(route, request)
+        budget = self._retry_budget(service.name)
         budget.request()
         exchange = Exchange(
             request,
@@ -152,7 +164,7 @@
             workspace,
             self._protocol,
             self._pool,
-            self._places,
+            self._placements,
             budget,
             started + limit_s,
             started,
@@ -168,10 +180,10 @@
             raise
         finally:
             if exchange.verdict is Verdict.NOT_RUN and workspace is not None and workspace.limits is not None:
-                self._meter.refund(workspace.name, _cost(workspace, request))
+                self._meter.refund(workspace.name, _cost_tokens(workspace, request))
             self._log(request, responder, ending, started, route, workspace, exchange)
 
-    def _budget(self, service: str) -> RetryBudget:
+    def _retry_budget(self, service: str) -> RetryBudget:
         reserve = self._retry_reserve()
         with self._lock:
             budget = self._budget_by_service.get(service)
@@ -204,13 +216,13 @@
     ) -> None:
         took_s = time.monotonic() - started
         name = route.name if route else ""
-        self._metrics.finished(name, responder.status, took_s, exchange.first_event_s if exchange else None)
+        self._metrics.record_request(name, responder.status, took_s, exchange.first_event_s if exchange else None)
         fields: dict[str, Any] = {
             "request": request.id,
             "route": name,
             "workspace": workspace.name if workspace else "",
             "status": responder.status,
-            "ending": ending or (responder.refused or "answered"),
+            "ending": ending or (responder.refusal_code or "answered"),
             "took_ms": round(took_s * 1000, 1),
             "config": self._view.version,
             "view_age_ms": round(self._view.age_s() * 1000) if self._view.version else None,
@@ -226,11 +238,11 @@
         _events.emit("request", **fields)
 
 
-def _limit_s(route: Route, request: CallerRequest) -> float:
+def _time_limit_s(route: Route, request: CallerRequest) -> float:
     return route.timeout_s if request.deadline_s is None else min(route.timeout_s, request.deadline_s)
 
 
-def _cost(workspace: Workspace, request: CallerRequest) -> float:
+def _cost_tokens(workspace: Workspace, request: CallerRequest) -> float:
     if request.prompt_tokens is None:
         return workspace.plain_tokens
     return float(request.prompt_tokens + (request.output_tokens or 0))
--- a/libs/arbutusrill_gateway/_metrics.py
+++ b/libs/arbutusrill_gateway/_metrics.py
@@ -10,21 +10,21 @@
 
 
 class GatewayMetrics:
-    """Metrics of one entry VM, served as text by `expose`."""
+    """Prometheus metrics of one entry VM."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         self._requests = Counter(
             "arbutusrill_requests", "Requests by route and status.", ["route", "status"], registry=self.registry
         )
-        self._seconds = Histogram(
+        self._duration = Histogram(
             "arbutusrill_request_seconds",
             "Time from the request to the end of its answer.",
             ["route"],
             buckets=_BUCKETS_S,
             registry=self.registry,
         )
-        self._first_event = Histogram(
+        self._time_to_first_event = Histogram(
             "arbutusrill_first_event_seconds",
             "Time from the request to the first event of its stream.",
             ["route"],
@@ -34,13 +34,13 @@
         self.view_age = Gauge("arbutusrill_view_age_seconds", "Age of the confirmed view.", registry=self.registry)
         self.version = Gauge("arbutusrill_config_version", "Version in force on this VM.", registry=self.registry)
 
-    def finished(self, route: str, status: int, took_s: float, first_event_s: float | None) -> None:
-        """Counts a request; `status` 0 means that its connection was cut before an answer."""
+    def record_request(self, route: str, status: int, took_s: float, first_event_s: float | None) -> None:
+        """Counts a finished request; `status` 0 means that its connection was closed without a response."""
         self._requests.labels(route, str(status)).inc()
-        self._seconds.labels(route).observe(took_s)
+        self._duration.labels(route).observe(took_s)
         if first_event_s is not None:
-            self._first_event.labels(route).observe(first_event_s)
+            self._time_to_first_event.labels(route).observe(first_event_s)
 
     def expose(self) -> bytes:
-        """Returns the metrics in the text format."""
+        """Returns the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- /dev/null
+++ b/libs/arbutusrill_gateway/_placement.py
@@ -0,0 +1,204 @@
+"""Placement of requests on model engines, which the leader of the control group grants to the entry VMs."""
+
+from __future__ import annotations
+
+import itertools
+import threading
+from dataclasses import dataclass, field
+from typing import Any
+
+from arbutusrill_base import Clock, EventLog
+from arbutusrill_http import caller_gone
+from arbutusrill_site import Service, SiteView
+from arbutusrill_state import ControlClient, ControlUnavailableError
+from arbutusrill_wire import messages
+
+from ._protocol import MIN_RETRY_AFTER_S, CallerRequest
+
+__all__ = ["Placement", "PlacementClient", "PlacementRequest"]
+
+_FIRST_POLL_S = 0.15  # wait of the first long poll, short to detect an unresponsive leader early
+_POLL_S = 0.4  # wait of further long polls; the caller's connection is checked between them
+_CALL_MARGIN_S = 0.2  # time for a call in addition to its wait
+_FREE_TIMEOUT_S = 0.3
+_NO_PLACEMENT = 0  # placement number in messages that only report an unresponsive engine
+_MAX_PREFILL_SPEEDS = 50  # measurements to keep while the leader is unavailable
+_LEADER_BACKOFF_S = 0.4  # after a failed call, engines are chosen from the local view for this time
+_events = EventLog("placement")
+
+
+@dataclass(slots=True)
+class Placement:
+    """A reservation of KV cache memory on a decode engine, and the prefill engine to use.
+
+    `number` is negative if this VM chose the engine without the leader. `decode` and `prefill` are backend records;
+    `prefill` is None if the decode engine is to process the prompt. `speeds` are measurements for the leader.
+    """
+
+    number: int
+    decode: Any
+    prefill: Any
+    tokens: int
+    output_tokens: int  # part of `tokens` that is allocated during decoding
+    taken_at: float
+    event_gap_s: float = 0.0  # longest gap between events that the caller accepts, 0 if unknown
+    speeds: list[Any] = field(default_factory=list)
+
+
+@dataclass(slots=True, frozen=True)
+class PlacementRequest:
+    """Requirements for a placement.
+
+    `objective_remaining_s` is the time until the request exceeds its latency objective; the leader ignores it if it
+    already knows the request from an earlier try. `avoided_ids` are the engines not to use. `continued` is true if the
+    request had a placement before. `event_gap_s` is the longest gap between events that the caller accepts.
+    """
+
+    service: Service
+    request: CallerRequest
+    objective_remaining_s: float
+    needs_prefill: bool
+    avoided_ids: list[str]
+    continued: bool
+    event_gap_s: float = 0.0
+
+
+class PlacementClient:
+    """Requests placements from the leader and tracks those that this VM holds.
+
+    While the leader is unavailable, `acquire` returns no placement and the gateway chooses engines from its local view,
+    so that requests are served during a change of leader.
+    """
+
+    def __init__(self, vm: str, incarnation: int, client: ControlClient, view: SiteView, clock: Clock):
+        self._vm = vm
+        self._incarnation = incarnation
+        self._client = client
+        self._view = view
+        self._clock = clock
+        self._lock = threading.Lock()
+        self._placement_by_number: dict[int, Placement] = {}
+        self._local_numbers = itertools.count(-1, -1)  # for placements that the leader did not grant
+        self._unreported_prefill_speeds: list[Any] = []
+        self._leader_unavailable_until = float("-inf")
+
+    def held(self) -> list[Any]:
+        """Returns the placements that this VM holds as `HeldPlace` messages."""
+        now = self._clock.monotonic()
+        with self._lock:
+            return [
+                messages.HeldPlace(
+                    number,
+                    placement.decode.id,
+                    placement.tokens,
+                    placement.decode.service_name,
+                    placement.output_tokens,
+                    int((now - placement.taken_at) * 1000),
+                    int(placement.event_gap_s * 1000),
+                )
+                for number, placement in self._placement_by_number.items()
+            ]
+
+    def acquire(self, wanted: PlacementRequest, max_wait_s: float) -> tuple[Placement | None, float | None]:
+        """Requests a placement and waits for it up to `max_wait_s` seconds.
+
+        Returns the placement and None, or None and the seconds after which a retry is likely to succeed. Both are None
+        if the leader is unavailable or granted an engine that is not yet in this VM's view. Raises
+        `ConnectionResetError` if the caller disconnects while waiting.
+        """
+        request = wanted.request
+        started = self._clock.monotonic()
+        deadline = started + max_wait_s
+        poll_s = _FIRST_POLL_S
+        while (now := self._clock.monotonic()) >= self._leader_unavailable_until:
+            message = self._wire_request(wanted, now - started, min(poll_s, deadline - now), deadline - now)
+            try:
+                reply = self._client.call(
+                    "place", message, timeout=poll_s + _CALL_MARGIN_S, try_timeout=poll_s + _CALL_MARGIN_S
+                )
+            except (ControlUnavailableError, messages.Refused) as error:
+                self._leader_unavailable_until = self._clock.monotonic() + _LEADER_BACKOFF_S
+                _events.emit("places_unavailable", request=request.id, reason=str(error))
+                break
+            if reply.place:
+                return self._accept_reply(reply, wanted), None
+            if reply.refused or self._clock.monotonic() >= deadline:
+                return None, max(MIN_RETRY_AFTER_S, reply.wait_ms / 1000)
+            if request.connection is not None and caller_gone(request.connection):
+                raise ConnectionResetError("caller disconnected while waiting for an engine")
+            poll_s = _POLL_S
+        return None, None
+
+    def _wire_request(self, wanted: PlacementRequest, waited_s: float, poll_s: float, max_wait_s: float) -> Any:
+        request = wanted.request
+        return messages.PlaceRequest(
+            self._vm,
+            self._incarnation,
+            request.id,
+            wanted.service.name,
+            request.model,
+            request.prompt_tokens or 0,
+            request.memory_tokens,
+            max(0, int(poll_s * 1000)),
+            max(0, int((wanted.objective_remaining_s - waited_s) * 1000)),
+            wanted.needs_prefill,
+            wanted.avoided_ids,
+            max(0, int(max_wait_s * 1000)),
+            request.content_hash(),
+            self._pop_prefill_speeds(),
+            wanted.continued,
+            int(wanted.event_gap_s * 1000),
+        )
+
+    def record_prefill_speed(self, backend: str, took_s: float, tokens: int) -> None:
+        """Records the duration of a prefill, which the next placement request reports to the leader."""
+        with self._lock:
+            self._unreported_prefill_speeds = [
+                *self._unreported_prefill_speeds[-_MAX_PREFILL_SPEEDS:],
+                messages.EngineSpeed(backend, took_s, tokens),
+            ]
+
+    def _pop_prefill_speeds(self) -> list[Any]:
+        with self._lock:
+            speeds, self._unreported_prefill_speeds = self._unreported_prefill_speeds, []
+            return speeds
+
+    def _accept_reply(self, reply: Any, wanted: PlacementRequest) -> Placement | None:
+        backends = self._view.backends_by_id
+        decode = backends.get(reply.decode)
+        if decode is None:  # the engine is not yet in this VM's view, which lags behind the leader
+            self._send_free(reply.place, [], [])
+            return None
+        return self._record(reply.place, decode, backends.get(reply.prefill), wanted.request, wanted.event_gap_s)
+
+    def record_local(self, decode: Any, request: CallerRequest, event_gap_s: float) -> Placement:
+        """Records a placement that this VM chose without the leader, which learns of it from the next report."""
+        return self._record(next(self._local_numbers), decode, None, request, event_gap_s)
+
+    def _record(self, number: int, decode: Any, prefill: Any, request: CallerRequest, event_gap_s: float) -> Placement:
+        now = self._clock.monotonic()
+        output_tokens = request.reserved_output_tokens
+        placement = Placement(number, decode, prefill, request.memory_tokens, output_tokens, now, event_gap_s)
+        with self._lock:
+            self._placement_by_number[placement.number] = placement
+        return placement
+
+    def release(self, placement: Placement) -> None:
+        """Releases a placement; if the call fails, the leader frees it once it is missing from this VM's reports."""
+        with self._lock:
+            self._placement_by_number.pop(placement.number, None)
+        if placement.number < 0 and self._clock.monotonic() < self._leader_unavailable_until:
+            return
+        self._send_free(placement.number, placement.speeds, [])
+
+    def report_unresponsive(self, backend: str) -> None:
+        """Reports an unresponsive engine to the leader at once, without releasing a placement."""
+        if self._clock.monotonic() >= self._leader_unavailable_until:
+            self._send_free(_NO_PLACEMENT, [], [backend])
+
+    def _send_free(self, number: int, speeds: list[Any], unresponsive: list[str]) -> None:
+        freed = messages.FreePlace(self._vm, self._incarnation, number, speeds, unresponsive)
+        try:
+            self._client.call("free_place", freed, timeout=_FREE_TIMEOUT_S, try_timeout=_FREE_TIMEOUT_S)
+        except (ControlUnavailableError, messages.Refused) as error:
+            _events.emit("place_not_freed", place=number, reason=str(error))
--- a/libs/arbutusrill_gateway/_protocol.py
+++ b/libs/arbutusrill_gateway/_protocol.py
@@ -1,4 +1,4 @@
-"""What the gateway has to know of the protocol that callers and backend servers speak."""
+"""Types of requests and responses, and the interface through which the gateway encodes and decodes them."""
 
 from __future__ import annotations
 
@@ -9,19 +9,21 @@
 
 import xxhash
 
-_ESTIMATE_FACTOR = 1.1
-_ESTIMATE_TOKENS = 100
-LEAST_RETRY_S = 0.05  # shortest time after which a refused caller is asked to come back
+_OUTPUT_ESTIMATE_FACTOR = 1.1
+_OUTPUT_ESTIMATE_MARGIN_TOKENS = 100
+MIN_RETRY_AFTER_S = 0.05
 
-__all__ = ["LEAST_RETRY_S", "Answer", "BackendProtocol", "CallerRequest", "Prefilled", "Send"]
+__all__ = ["MIN_RETRY_AFTER_S", "BackendProtocol", "BackendRequest", "CallerRequest", "KvCacheHandle", "ResponseHead"]
 
 
 @dataclass(slots=True)
 class CallerRequest:
-    """A caller's request. `headers` holds what is passed on; `target` is path and query as they were sent.
+    """A caller's request.
 
-    `deadline_s` is how long the caller waits, None when it did not say. `prompt_tokens` and `output_tokens` are None
-    for requests without token counts. `connection` is the caller's socket, watched while the request is under way.
+    `headers` are the fields to forward to the backend server, `target` is the unmodified path and query, and `key` is
+    the API key. `deadline_s` is the time for which the caller waits, or None if it sent no deadline. `prompt_tokens`
+    and `output_tokens` (the maximum) are None for requests without token counts. `resume_after` is the id of the last
+    event that the caller received. `connection` is the caller's socket, which is monitored for a disconnect.
     """
 
     id: str
@@ -41,33 +43,38 @@
 
     @property
     def path(self) -> str:
-        """Path without the query."""
+        """Path without the query string."""
         return self.target.partition("?")[0]
 
     def content_hash(self) -> int:
-        """Returns a signed 64-bit hash of what stays the same when the caller sends the request again."""
+        """Returns a signed 64-bit hash of the parts that are the same when the caller retries the request."""
         digest = xxhash.xxh64(f"{self.key} {self.method} {self.host} {self.target}\n".encode("utf-8", "replace"))
         digest.update(self.body)
         return digest.intdigest() - 2**63
 
     @property
     def memory_tokens(self) -> int:
-        """Tokens of engine memory that the request is expected to fill."""
+        """Expected KV cache memory of the request on an engine, in tokens."""
         return (self.prompt_tokens or 0) + self.reserved_output_tokens
 
     @property
     def reserved_output_tokens(self) -> int:
-        """Part of `memory_tokens` that is filled while the stream lasts."""
+        """Part of `memory_tokens` that is allocated during decoding."""
         output = self.output_tokens or 0
         if self.expected_output_tokens is not None:
-            # Estimates are right in the middle; the requests that run are more often those that last longer.
-            output = min(output, int(self.expected_output_tokens * _ESTIMATE_FACTOR) + _ESTIMATE_TOKENS)
+            # The estimate is accurate in the median, but long requests are over-represented among those running.
+            output = min(
+                output, int(self.expected_output_tokens * _OUTPUT_ESTIMATE_FACTOR) + _OUTPUT_ESTIMATE_MARGIN_TOKENS
+            )
         return output
 
 
 @dataclass(slots=True)
-class Prefilled:
-    """A prompt's KV cache on a prefill engine, and the handle by which it is taken."""
+class KvCacheHandle:
+    """Reference to a prompt's KV cache on a prefill engine, from which a decode engine fetches it.
+
+    `record` is the backend record of the prefill engine, `tokens` the length of the prompt.
+    """
 
     record: Any
     handle: str
@@ -85,23 +92,28 @@
 
 
 @dataclass(slots=True)
-class Send:
-    """One request to a backend server: what the gateway adds to the caller's headers."""
+class BackendRequest:
+    """Values that the gateway adds to a caller's request when it forwards it to a backend server.
+
+    `backend` is the backend record of the receiver, `remaining_s` the time until the deadline. `prefill` asks for a
+    prefill only; `kv_cache` is the result of an earlier prefill. A stream resumes after the event `resume_after`.
+    """
 
     backend: Any
     remaining_s: float
     workspace: str = ""
     prefill: bool = False
-    prefilled: Prefilled | None = None
+    kv_cache: KvCacheHandle | None = None
     resume_after: str = ""
 
 
 @dataclass(slots=True)
-class Answer:
-    """Head of a backend server's answer, decoded.
+class ResponseHead:
+    """Decoded status and headers of a backend server's response.
 
-    `not_run` is the server's statement that it has not run the request. `stamped` says that the answer carries
-    the server's proof. `headers` are those to pass on to the caller.
+    `not_run` is true if the backend server states that it has not run the request, `stamped` if the response carries
+    the stamp by which the backend server proves that it served the request. `headers` are the fields to forward to the
+    caller.
     """
 
     status: int
@@ -112,24 +124,24 @@
 
 
 class BackendProtocol(abc.ABC):
-    """Headers of requests to backend servers, and the meaning of their answers."""
+    """Encodes requests to backend servers and decodes their responses."""
 
     @abc.abstractmethod
-    def headers(self, request: CallerRequest, send: Send) -> list[tuple[str, str]]:
-        """Returns the header fields of one request to a backend server."""
+    def request_headers(self, request: CallerRequest, backend_request: BackendRequest) -> list[tuple[str, str]]:
+        """Returns the header fields of a request to a backend server."""
 
     @abc.abstractmethod
-    def answer(self, status: int, headers_by_name: dict[str, str]) -> Answer:
-        """Decodes the head of an answer."""
+    def decode_response(self, status: int, headers_by_name: dict[str, str]) -> ResponseHead:
+        """Decodes the status and headers of a response."""
 
     @abc.abstractmethod
-    def prefilled(self, record: Any, body: bytes) -> Prefilled | None:
-        """Decodes the answer to a prefill; None when it is no such answer."""
+    def decode_prefill(self, record: Any, body: bytes) -> KvCacheHandle | None:
+        """Decodes the response of a prefill engine; returns None if `body` is not a valid prefill response."""
 
     @abc.abstractmethod
-    def release_path(self, prefilled: Prefilled) -> str:
-        """Returns the path whose DELETE frees a KV cache that nobody will take."""
+    def release_path(self, kv_cache: KvCacheHandle) -> str:
+        """Returns the path to which a DELETE request frees a KV cache that will not be fetched."""
 
     @abc.abstractmethod
     def event_id(self, event: bytes) -> int | None:
-        """Returns the number of a stream's event, None for one without."""
+        """Returns the numeric id of a server-sent event, or None if it has none."""
--- a/libs/arbutusrill_gateway/tests/test_attempt.py
+++ b/libs/arbutusrill_gateway/tests/test_attempt.py
@@ -1,35 +1,36 @@
-"""Guards against sends that wait for an engine that is not there."""
+"""Tests of single attempts: the connect timeout for an engine that does not accept connections."""
 
 import socket
 
 from arbutusrill_wire import messages
 
-from arbutusrill_gateway import CallerRequest, Send
-from arbutusrill_gateway._attempt import Outcome, attempt
+from arbutusrill_gateway import BackendRequest, CallerRequest
+from arbutusrill_gateway._attempt import Outcome, send_attempt
 from arbutusrill_gateway._backends import Candidate
 
-KV_CACHE_S = 0.5  # for which a prefill engine keeps a prompt that nobody takes
+KV_CACHE_LIFETIME_S = 0.5  # after which a prefill engine drops a KV cache that was not fetched
 
 
 class NoHeaders:
-    def headers(self, request, send):
+    def request_headers(self, request, backend_request):
         return []
 
 
-def test_engine_that_is_silent_is_given_up_well_before_the_prompt_is_lost():
-    # A VM without power answers no connection; another engine has to take the KV cache in time.
-    with socket.create_server(("127.0.0.1", 0), backlog=0) as silent:
-        address = "{}:{}".format(*silent.getsockname())
-        waiting = [socket.socket() for _ in range(3)]
-        for one in waiting:
-            one.setblocking(False)
-            one.connect_ex(silent.getsockname())
+def test_connect_timeout_leaves_time_for_another_engine_to_fetch_the_kv_cache():
+    # A VM that lost power does not answer connection attempts. The full backlog below has the same effect.
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as unresponsive:
+        address = "{}:{}".format(*unresponsive.getsockname())
+        backlog = [socket.socket() for _ in range(3)]
+        for connection in backlog:
+            connection.setblocking(False)
+            connection.connect_ex(unresponsive.getsockname())
         record = messages.BackendRecord("d", 1, 1, "model", address, "z1", 8, False, "decode", [])
         request = CallerRequest("r", "POST", "h", "/x", [], b"")
-        tries = [
-            attempt(NoHeaders(), request, Send(record, 2.0), Candidate(record, 0.0), timeout_s=2.0) for _ in range(3)
+        results = [
+            send_attempt(NoHeaders(), request, BackendRequest(record, 2.0), Candidate(record, 0.0), timeout_s=2.0)
+            for _ in range(3)
         ]
-        for one in waiting:
-            one.close()
-    assert {made.outcome for made in tries} == {Outcome.UNREACHED}
-    assert min(made.took_s for made in tries) < KV_CACHE_S / 2
+        for connection in backlog:
+            connection.close()
+    assert {result.outcome for result in results} == {Outcome.UNREACHED}
+    assert min(result.took_s for result in results) < KV_CACHE_LIFETIME_S / 2
--- a/libs/arbutusrill_gateway/tests/test_leaving.py
+++ b/libs/arbutusrill_gateway/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Guards against requests that a VM takes shortly before its end and cannot finish."""
+"""Tests of draining: requests that could not finish before the VM shuts down are refused."""
 
 import pytest
 from arbutusrill_base import SystemClock
@@ -8,7 +8,7 @@
 
 
 class Metrics:
-    def finished(self, *_):
+    def record_request(self, *_):
         pass
 
 
@@ -29,8 +29,8 @@
     return gateway
 
 
-def served(gateway, deadline_s):
-    """Returns the status of a refusal, or None for a request that was relayed."""
+def refusal_status(gateway, deadline_s):
+    """Returns the status of a refusal, or None if the request was relayed."""
     statuses, count = [], len(gateway.relayed)
     request = CallerRequest("1", "POST", "host", "/a/", [], b"", deadline_s=deadline_s)
     gateway.serve(request, Responder(lambda status, headers: statuses.append(status) or len, []))
@@ -38,13 +38,13 @@
     return statuses[0] if statuses else None
 
 
-def test_request_that_may_outlast_the_vm_is_refused_near_its_end(gateway):
-    # A stream that came 3.3 s after SIGTERM was cut when the process had to end.
-    gateway.leave(accepts_s=0.0, ends_s=4.0)
-    assert served(gateway, 14.0).startswith("503")
-    assert served(gateway, 0.6) is None
+def test_request_that_may_not_finish_before_the_shutdown_is_refused(gateway):
+    # A stream that arrived 3.3 s after SIGTERM was cut off when the process had to exit.
+    gateway.drain(accept_all_s=0.0, shutdown_s=4.0)
+    assert refusal_status(gateway, 14.0).startswith("503")
+    assert refusal_status(gateway, 0.6) is None
 
 
-def test_request_is_served_while_its_caller_may_not_know_yet_that_the_vm_leaves(gateway):
-    gateway.leave(accepts_s=3.0, ends_s=7.0)
-    assert served(gateway, 14.0) is None
+def test_request_is_served_while_callers_may_not_know_that_the_vm_drains(gateway):
+    gateway.drain(accept_all_s=3.0, shutdown_s=7.0)
+    assert refusal_status(gateway, 14.0) is None
--- a/libs/arbutusrill_gateway/tests/test_prefill.py
+++ b/libs/arbutusrill_gateway/tests/test_prefill.py
@@ -1,4 +1,4 @@
-"""Guards against prefill engines that do not answer and are chosen again and again."""
+"""Tests that a failed prefill engine is reported to the leader, so that other requests avoid it."""
 
 import socket
 from types import SimpleNamespace
@@ -6,12 +6,12 @@
 from arbutusrill_base import ManualClock
 from arbutusrill_wire import messages
 
-from arbutusrill_gateway import CallerRequest, Places, Send
+from arbutusrill_gateway import BackendRequest, CallerRequest, PlacementClient
 from arbutusrill_gateway._prefill import run_prefill
 
 
 class NoHeaders:
-    def headers(self, request, send):
+    def request_headers(self, request, backend_request):
         return []
 
 
@@ -24,10 +24,10 @@
 
 
 class Pool:
-    def hold(self, backend, tokens):
+    def track_request(self, backend, tokens):
         return socket.socket()  # any context manager
 
-    def failed(self, record, reason, avoid):
+    def record_failure(self, record, reason, avoid):
         pass
 
     def pick(self, *_):
@@ -39,23 +39,24 @@
         return "{}:{}".format(*server.getsockname())
 
 
-def test_leader_hears_of_a_prefill_engine_that_is_gone_before_the_stream_has_ended():
-    # It was told with the end of the place, and gave the engine to others for the seconds of a stream.
-    gone = messages.BackendRecord("p", 1, 1, "model", closed_address(), "z1", 8, False, "prefill", [])
+def test_unreachable_prefill_engine_is_reported_before_the_stream_ends():
+    # If the report waited for the release of the placement, the leader would assign the engine to other requests for
+    # the duration of the stream.
+    unreachable = messages.BackendRecord("p", 1, 1, "model", closed_address(), "z1", 8, False, "prefill", [])
     leader = Leader()
-    places = Places("vm", 1, leader, SimpleNamespace(backends_by_id={}), ManualClock())
+    placements = PlacementClient("vm", 1, leader, SimpleNamespace(backends_by_id={}), ManualClock())
     exchange = SimpleNamespace(
         request=CallerRequest("r", "POST", "h", "/x", [], b""),
         pool=Pool(),
-        places=places,
+        placements=placements,
         protocol=NoHeaders(),
         service=None,
         has_time=lambda: True,
         remaining_s=lambda: 1.0,
-        send=lambda candidate, **_: Send(candidate.record, 1.0),
-        note_prefill=lambda candidate, made: None,
+        backend_request=lambda candidate, **_: BackendRequest(candidate.record, 1.0),
+        record_prefill_attempt=lambda candidate, result: None,
     )
-    place = SimpleNamespace(prefill=gone)
-    assert run_prefill(exchange, place) is None
-    (name, told), *rest = leader.calls
-    assert (name, told.place, told.unresponsive, rest) == ("free_place", 0, ["p"], [])
+    placement = SimpleNamespace(prefill=unreachable)
+    assert run_prefill(exchange, placement) is None
+    (name, message), *rest = leader.calls
+    assert (name, message.place, message.unresponsive, rest) == ("free_place", 0, ["p"], [])
--- a/libs/arbutusrill_gateway/tests/test_protocol.py
+++ b/libs/arbutusrill_gateway/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""Guards against callers that come back and are taken for new ones."""
+"""Tests of the content hash, by which the leader recognizes a request that its caller retries."""
 
 from arbutusrill_gateway import CallerRequest
 
@@ -8,7 +8,7 @@
     return CallerRequest(**(fields | changed))
 
 
-def test_hash_of_a_request_that_is_sent_again_is_the_same():
+def test_hash_of_a_retried_request_is_the_same():
     again = request(id="2", headers=[("Request-Id", "2")], deadline_s=3.0)
     assert again.content_hash() == request().content_hash()
 
--- a/libs/arbutusrill_gateway/tests/test_start.py
+++ b/libs/arbutusrill_gateway/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Guards against refusals just after a start, while the configuration and the backend servers are on their way."""
+"""Guards against refusing requests right after a start, before the configuration and backend servers are known."""
 
 import threading
 import time
@@ -13,7 +13,7 @@
 RECORD = messages.BackendRecord("b-1", 1, 1, "app", "10.0.0.1:1", "z1", 8, False, "", [])
 
 
-def later(view, change):
+def change_later(view, change):
     def run():
         time.sleep(0.05)
         change()
@@ -22,7 +22,7 @@
     threading.Thread(target=run).start()
 
 
-def answered_status(view, **fields):
+def response_status(view, **fields):
     statuses = []
     gateway = Gateway(view, None, None, None, None, Metrics(), 0.1, lambda: 1.0)
     request = CallerRequest("1", "GET", "host", "/none/", [], b"", **fields)
@@ -31,7 +31,7 @@
 
 
 class Metrics:
-    def finished(self, *_):
+    def record_request(self, *_):
         pass
 
 
@@ -42,24 +42,24 @@
 
 def test_request_waits_for_the_first_configuration():
     view = SiteView(SystemClock())
-    later(view, lambda: setattr(view, "document", Configuration()))
-    assert answered_status(view, deadline_s=5.0).startswith("404")
+    change_later(view, lambda: setattr(view, "document", Configuration()))
+    assert response_status(view, deadline_s=5.0).startswith("404")
 
 
-def test_request_is_refused_before_its_caller_gives_up():
+def test_request_without_a_configuration_is_refused_before_its_deadline():
     started = time.monotonic()
-    assert answered_status(SiteView(SystemClock()), deadline_s=0.3).startswith("503")
+    assert response_status(SiteView(SystemClock()), deadline_s=0.3).startswith("503")
     assert time.monotonic() - started < 0.3
 
 
-def test_request_waits_for_a_backend_server_that_is_still_to_be_heard():
+def test_request_waits_for_a_backend_server_while_the_list_is_incomplete():
     view = SiteView(ManualClock())
     pool = BackendPool(view, "z1", ManualClock())
-    later(view, lambda: setattr(view, "backends_by_id", {"b-1": RECORD}))
+    change_later(view, lambda: setattr(view, "backends_by_id", {"b-1": RECORD}))
     assert pool.wait_for_backends(SERVICE, 5.0)
 
 
-def test_request_does_not_wait_when_all_backend_servers_are_known():
+def test_request_does_not_wait_if_the_list_of_backend_servers_is_complete():
     view = SiteView(ManualClock())
     view.backends_complete = True
     started = time.monotonic()
