--- a/libs/arbutusrill_gateway/_reply.py
+++ b/libs/arbutusrill_gateway/_reply.py
@@ -46,8 +46,8 @@
     caller opens a new connection for its next request.
     """
 
-    def __init__(self, start: Callable, own_headers: list[tuple[str, str]], close: bool = False):
-        self._start = start
+    def __init__(self, start_response: Callable, own_headers: list[tuple[str, str]], close: bool = False):
+        self._start_response = start_response
         self._own_headers = own_headers
         self._close = close
         self._write: Callable[[bytes], None] | None = None
@@ -62,7 +62,7 @@
             phrase = "Status"
         if self._close:
             headers = [*headers, ("Connection", "close")]
-        self._write = self._start(f"{status} {phrase}", headers)
+        self._write = self._start_response(f"{status} {phrase}", headers)
         self.status = status
 
     def write(self, data: bytes) -> None:
