--- a/libs/arbutusrill_gateway/_backends.py
+++ b/libs/arbutusrill_gateway/_backends.py
@@ -170,10 +170,10 @@
     def _fits(self, record: Any, service: Service, tokens: int) -> bool:
         if service.engine is None:
             return True
-        held = self._token_count(record.id)
+        allocated = self._token_count(record.id)
         slots = min(service.engine.slots or record.slots, record.slots or service.engine.slots)
         return (
-            held + tokens <= service.engine.kv_tokens * _USABLE_MEMORY_FRACTION
+            allocated + tokens <= service.engine.kv_tokens * _USABLE_MEMORY_FRACTION
             and self._request_count(record.id) < slots
         )
 
@@ -197,8 +197,10 @@
 
     def _penalty_s(self, record: Any, stage: str, kv_data_centre: str, stats: _BackendStats, now: float) -> float:
         home = kv_data_centre or self._data_centre
-        away_s = _CROSS_DATA_CENTRE_KV_PENALTY_S if stage else _CROSS_DATA_CENTRE_PENALTY_S
-        return self._failure_rate(stats, now) * _FAILURE_PENALTY_S + (0.0 if record.data_centre == home else away_s)
+        cross_penalty_s = _CROSS_DATA_CENTRE_KV_PENALTY_S if stage else _CROSS_DATA_CENTRE_PENALTY_S
+        return self._failure_rate(stats, now) * _FAILURE_PENALTY_S + (
+            0.0 if record.data_centre == home else cross_penalty_s
+        )
 
     def _mean_unit_s(self, records: list[Any], stage: str) -> float:
         known = [
--- a/libs/arbutusrill_gateway/_exchange.py
+++ b/libs/arbutusrill_gateway/_exchange.py
@@ -25,9 +25,10 @@
 class Exchange:
     """One caller's request with its route, its workspace and the results of its attempts so far.
 
-    `deadline` and `started` are on the monotonic clock. `attempt_count` excludes prefills and attempts that reached no
-    backend server. `verdict` is the worst verdict of all attempts, `tried` holds the ids of backend servers to exclude,
-    and `trail` lists every attempt for the request log.
+    `deadline` and `started` are on the monotonic clock. `attempt_count` is the number of attempts that count towards
+    the route's maximum; prefills and connection failures that are retried at once do not. `verdict` is the worst
+    verdict of all attempts, `tried` holds the ids of backend servers to exclude, and `trail` lists every attempt for
+    the request log.
     """
 
     request: CallerRequest
--- a/libs/arbutusrill_gateway/_stream.py
+++ b/libs/arbutusrill_gateway/_stream.py
@@ -249,8 +249,10 @@
     with contextlib.ExitStack() as stack:
         stack.enter_context(exchange.pool.track_request(candidate.id, tokens))
         if exchange.service.engine is not None and (placement is None or placement.decode.id != candidate.id):
-            unasked = exchange.placements.record_local(candidate.record, exchange.request, exchange.route.event_gap_s)
-            stack.callback(exchange.placements.release, unasked)
+            local_placement = exchange.placements.record_local(
+                candidate.record, exchange.request, exchange.route.event_gap_s
+            )
+            stack.callback(exchange.placements.release, local_placement)
         yield
 
 
