--- a/libs/arbutusrill_control/__init__.py
+++ b/libs/arbutusrill_control/__init__.py
@@ -1,6 +1,6 @@
-"""Control role: the shared state's service, VM leases, pool assignment and the operators' interface.
+"""Control role: RPC service over the replicated state, VM leases, pool assignment and the operators' HTTP interface.
 
-Names are imported on first use: a process that needs the state machine only starts without the operators' interface.
+Names are imported lazily, so that a process that needs only the state machine does not load the HTTP interface.
 """
 
 from __future__ import annotations
--- a/libs/arbutusrill_control/_burn.py
+++ b/libs/arbutusrill_control/_burn.py
@@ -1,4 +1,4 @@
-"""Counts of good and bad requests that entry VMs report, summed over VMs."""
+"""Aggregation of the good and bad request counts that entry VMs report."""
 
 from __future__ import annotations
 
@@ -8,36 +8,41 @@
 
 from arbutusrill_base import Clock
 
-__all__ = ["BurnBoard"]
+__all__ = ["BurnAggregator"]
 
-KEPT_S = 120.0  # the last report of a VM that is gone counts no longer
+REPORT_TTL_S = 120.0  # reports of VMs that have stopped reporting expire
 _MAX_VMS = 1000
-_MAX_ROWS = 20_000  # per VM: 1,100 workspaces with a few routes, targets and windows
+_MAX_ROWS_PER_VM = 20_000  # 1,100 workspaces with a few routes, targets and windows each
 
 
 @dataclass(slots=True)
 class _Report:
-    at: float
+    received_at: float
     incarnation: int
     rows: list[Any]
 
 
-class BurnBoard:
-    """Keeps the last report of each VM in memory; a new leader knows all again after one report each."""
+class BurnAggregator:
+    """Sums the latest report of each VM.
+
+    Reports are kept in memory only: after a leader change the sums are complete once every VM has reported again.
+    """
 
     def __init__(self, clock: Clock):
         self._clock = clock
         self._lock = threading.Lock()
         self._report_by_vm: dict[str, _Report] = {}
 
-    def report(self, vm: str, incarnation: int, rows: list[Any]) -> None:
-        """Replaces the rows of a VM."""
+    def store_report(self, vm: str, incarnation: int, rows: list[Any]) -> None:
+        """Replaces the report of a VM; a new VM is ignored when `_MAX_VMS` have unexpired reports."""
         now = self._clock.monotonic()
         with self._lock:
-            for name in [name for name, report in self._report_by_vm.items() if now - report.at > KEPT_S]:
+            for name in [
+                name for name, report in self._report_by_vm.items() if now - report.received_at > REPORT_TTL_S
+            ]:
                 del self._report_by_vm[name]
             if vm in self._report_by_vm or len(self._report_by_vm) < _MAX_VMS:
-                self._report_by_vm[vm] = _Report(now, incarnation, list(rows or [])[:_MAX_ROWS])
+                self._report_by_vm[vm] = _Report(now, incarnation, list(rows or [])[:_MAX_ROWS_PER_VM])
 
     def totals(self) -> list[dict[str, Any]]:
         """Returns rows summed over VMs: workspace, route, target, window_s, good, bad and bad_fraction (0 to 1)."""
@@ -45,7 +50,7 @@
         sums: dict[tuple, list[int]] = {}
         with self._lock:
             for report in self._report_by_vm.values():
-                if now - report.at <= KEPT_S:
+                if now - report.received_at <= REPORT_TTL_S:
                     for row in report.rows:
                         total = sums.setdefault((row.workspace, row.route, row.target, row.window_s), [0, 0])
                         total[0] += row.good
@@ -63,8 +68,8 @@
             for (workspace, route, target, window_s), (good, bad) in sorted(sums.items())
         ]
 
-    def vms(self) -> int:
-        """Returns the number of VMs whose reports count."""
+    def count_reporting_vms(self) -> int:
+        """Returns the number of VMs with an unexpired report."""
         now = self._clock.monotonic()
         with self._lock:
-            return sum(now - report.at <= KEPT_S for report in self._report_by_vm.values())
+            return sum(now - report.received_at <= REPORT_TTL_S for report in self._report_by_vm.values())
--- a/libs/arbutusrill_control/_housekeeping.py
+++ b/libs/arbutusrill_control/_housekeeping.py
@@ -1,4 +1,4 @@
-"""Periodic changes that the control group's leader proposes by itself."""
+"""Maintenance changes that the leader of the control group proposes periodically."""
 
 from __future__ import annotations
 
@@ -10,44 +10,47 @@
 
 __all__ = ["Housekeeping"]
 
-SWEEP_S = 10.0
-FORGET_VM_S = 600.0  # long enough for operators to see in `status` that a VM has died
-# Orders that read from the rate-limited weight store.
+JOURNAL_SWEEP_INTERVAL_S = 10.0
+DEAD_VM_RETENTION_S = 600.0  # keeps a dead VM visible to operators in `status`
+# Actions that download weights from the rate-limited weight store.
 _WEIGHT_STORE_ACTIONS = ("load_model", "load_adapter", "load_version")
 
 
 class Housekeeping:
-    """Journal retention, dead VMs to forget and orders to release. Times are on the monotonic clock."""
+    """Schedules journal sweeps, the removal of dead VMs and the release and timeout of orders.
+
+    Times are on the leader's monotonic clock.
+    """
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._swept_at = 0.0
+        self._last_swept_at = 0.0
         self._dead_since_by_vm: dict[tuple[str, int], float] = {}
-        self._order_since_by_id: dict[str, float] = {}
+        self._active_since_by_order_id: dict[str, float] = {}
 
     def begin_term(self) -> None:
-        """Starts all times anew: those of an earlier leader are not known."""
-        self._swept_at = self._clock.monotonic()
+        """Restarts all timers when this VM becomes leader, since it does not know those of the previous leader."""
+        self._last_swept_at = self._clock.monotonic()
         self._dead_since_by_vm.clear()
-        self._order_since_by_id.clear()
+        self._active_since_by_order_id.clear()
 
-    def due(self, state: SharedState) -> list[Any]:
+    def due_changes(self, state: SharedState) -> list[Any]:
         """Returns the changes that are due now."""
         changes = []
         if state.config.revision == 0 and state.config.feature_level < FEATURE_LEVEL:
-            # A new group has no replica of an older version; others are raised by an operator.
+            # A new group has no replicas of older versions. In an existing group an operator raises the level.
             changes.append(messages.SetFeatureLevel(FEATURE_LEVEL))
-        changes += self._sweep(state)
+        changes += self._sweep_journal(state)
         changes += self._forget_vms(state)
-        changes += self._orders(state)
+        changes += self._advance_orders(state)
         return changes
 
-    def _sweep(self, state: SharedState) -> list[Any]:
+    def _sweep_journal(self, state: SharedState) -> list[Any]:
         now = self._clock.monotonic()
-        if now - self._swept_at < SWEEP_S:
+        if now - self._last_swept_at < JOURNAL_SWEEP_INTERVAL_S:
             return []
-        elapsed_ms = int((now - self._swept_at) * 1000)
-        self._swept_at = now
+        elapsed_ms = int((now - self._last_swept_at) * 1000)
+        self._last_swept_at = now
         return [messages.JournalSweep(0, elapsed_ms)] if state.journal.entries_by_key else []
 
     def _forget_vms(self, state: SharedState) -> list[Any]:
@@ -60,38 +63,41 @@
         return [
             messages.ForgetVm(vm, incarnation)
             for (vm, incarnation), since in self._dead_since_by_vm.items()
-            if now - since >= FORGET_VM_S and vm not in owners
+            if now - since >= DEAD_VM_RETENTION_S and vm not in owners
         ]
 
-    def _orders(self, state: SharedState) -> list[Any]:
-        """Releases orders, those that load weights only while few others do, and ends those that take too long."""
+    def _advance_orders(self, state: SharedState) -> list[Any]:
+        """Returns the changes that release requested orders and fail those that exceeded ``orders.timeout_s``.
+
+        At most ``orders.parallel`` orders that load weights are active at once.
+        """
         now = self._clock.monotonic()
         orders = list(state.config.orders_by_id.values())
-        parallel = state.config.value("orders.parallel")
+        max_parallel_loads = state.config.value("orders.parallel")
         timeout_s = state.config.value("orders.timeout_s")
-        under_way = [order for order in orders if order.state in ("released", "running")]
+        active_orders = [order for order in orders if order.state in ("released", "running")]
         since_by_id = {}
         changes = []
-        loads = 0
-        for order in under_way:
-            since_by_id[order.id] = self._order_since_by_id.get(order.id, now)
+        active_loads = 0
+        for order in active_orders:
+            since_by_id[order.id] = self._active_since_by_order_id.get(order.id, now)
             if now - since_by_id[order.id] >= timeout_s:
-                changes.append(_moved(order, "failed", f"not done within {timeout_s} s"))
+                changes.append(_with_state(order, "failed", f"not done within {timeout_s} s"))
             elif order.action in _WEIGHT_STORE_ACTIONS:
-                loads += 1
-        self._order_since_by_id = since_by_id
+                active_loads += 1
+        self._active_since_by_order_id = since_by_id
         for order in orders:
             if order.state != "requested":
                 continue
             if order.action in _WEIGHT_STORE_ACTIONS:
-                if loads >= parallel:
+                if active_loads >= max_parallel_loads:
                     continue
-                loads += 1
-            changes.append(_moved(order, "released", ""))
+                active_loads += 1
+            changes.append(_with_state(order, "released", ""))
         return changes
 
 
-def _moved(order: Any, state: str, detail: str) -> Any:
+def _with_state(order: Any, state: str, detail: str) -> Any:
     return messages.PutOrder(
         order.id, order.server, order.pool, order.action, order.argument_json, state, order.fencing, detail
     )
--- a/libs/arbutusrill_control/_leases.py
+++ b/libs/arbutusrill_control/_leases.py
@@ -1,4 +1,4 @@
-"""Leases of entry VMs and the assignment of pools to them, on the control group's leader."""
+"""Leases of entry VMs, tracked by the leader of the control group, and the choice of a VM for a pool."""
 
 from __future__ import annotations
 
@@ -15,84 +15,87 @@
 @dataclass(slots=True)
 class _Lease:
     incarnation: int
-    until: float
+    expires_at: float
     revision: int
-    ended: bool = False  # the VM is being declared dead, no renewal until that is in the log
+    ended: bool = False  # no renewal until the VM's death is committed
 
 
 class VmLeases:
-    """Remembers until when each entry VM may act as an owner. Times are on the monotonic clock."""
+    """Tracks when the lease expires under which an entry VM may own pools. Times are on the monotonic clock."""
 
     def __init__(self, clock: Clock):
         self._clock = clock
         self._lock = threading.Lock()
         self._lease_by_vm: dict[str, _Lease] = {}
-        self._led_since: float | None = None
+        self._term_started_at: float | None = None
 
     def begin_term(self) -> None:
-        """Starts the wait of a new leader, which does not know the leases that the old one has given."""
+        """Drops all leases when this VM becomes leader.
+
+        The previous leader's leases are unknown, so every VM counts as holding one for one lease time and drift.
+        """
         with self._lock:
-            self._led_since = self._clock.monotonic()
+            self._term_started_at = self._clock.monotonic()
             self._lease_by_vm.clear()
 
-    def renew(self, vm: str, incarnation: int, revision: int, asked_at: float) -> float:
-        """Renews a lease and returns its length in seconds, counted by the VM from its request.
+    def renew(self, vm: str, incarnation: int, revision: int, received_at: float) -> float:
+        """Renews a lease and returns its duration in seconds, which the VM counts from sending its request.
 
-        `asked_at` is when the request arrived: counted from the answer, a VM that freezes during its long poll would
-        keep its pools for the length of the poll longer.
+        The lease runs from `received_at`, when the request arrived. If it ran from the response, a VM that freezes
+        during its long poll would keep its pools longer by the duration of the poll.
 
-        Returns 0 while the VM is being declared dead: it may act again only after it has registered anew, with
-        its pools given to others.
+        Returns 0 while the VM is being declared dead: it gets a lease again only after it has registered again,
+        when its pools have been reassigned.
         """
         with self._lock:
             lease = self._lease_by_vm.get(vm)
             if lease is not None and lease.incarnation == incarnation and lease.ended:
                 return 0.0
-            until = asked_at + VM_LEASE_S + CLOCK_DRIFT_S
+            expires_at = received_at + VM_LEASE_S + CLOCK_DRIFT_S
             if lease is not None and lease.incarnation == incarnation:
-                until = max(until, lease.until)
-            self._lease_by_vm[vm] = _Lease(incarnation, until, revision)
+                expires_at = max(expires_at, lease.expires_at)
+            self._lease_by_vm[vm] = _Lease(incarnation, expires_at, revision)
         return VM_LEASE_S
 
-    def end(self, vm: str, incarnation: int) -> bool:
-        """Ends the lease of a VM for good if it has run out; returns whether the VM can be declared dead."""
+    def end_if_expired(self, vm: str, incarnation: int) -> bool:
+        """Blocks renewal of an expired lease and returns True, so that the VM can be declared dead; else False."""
         with self._lock:
-            if self._alive(vm, incarnation):
+            if self._may_be_valid(vm, incarnation):
                 return False
             lease = self._lease_by_vm.get(vm)
             if lease is None or lease.incarnation == incarnation:
                 self._lease_by_vm[vm] = _Lease(incarnation, float("-inf"), 0, ended=True)
             return True
 
-    def forget(self, vm: str, incarnation: int) -> None:
-        """Drops an ended lease once the log says that the VM is dead, so that it may register anew."""
+    def drop_ended(self, vm: str, incarnation: int) -> None:
+        """Removes an ended lease once the VM's death is committed, so that the VM can register again."""
         with self._lock:
             lease = self._lease_by_vm.get(vm)
             if lease is not None and lease.incarnation == incarnation and lease.ended:
                 del self._lease_by_vm[vm]
 
-    def alive(self, vm: str, incarnation: int) -> bool:
-        """Says whether a VM's lease may still be running."""
+    def may_be_valid(self, vm: str, incarnation: int) -> bool:
+        """Returns whether a VM may still hold a valid lease, from this leader or the previous one."""
         with self._lock:
-            return self._alive(vm, incarnation)
+            return self._may_be_valid(vm, incarnation)
 
-    def _alive(self, vm: str, incarnation: int) -> bool:
+    def _may_be_valid(self, vm: str, incarnation: int) -> bool:
         now = self._clock.monotonic()
         lease = self._lease_by_vm.get(vm)
-        if lease is not None and lease.incarnation == incarnation and now < lease.until:
+        if lease is not None and lease.incarnation == incarnation and now < lease.expires_at:
             return True
-        return self._led_since is None or now < self._led_since + VM_LEASE_S + CLOCK_DRIFT_S
+        return self._term_started_at is None or now < self._term_started_at + VM_LEASE_S + CLOCK_DRIFT_S
 
     def revision_by_vm(self) -> dict[str, int]:
-        """Returns the revision that each VM with a running lease had applied at its last poll."""
+        """Returns the revision that each VM with a valid lease had applied at its last poll."""
         now = self._clock.monotonic()
         with self._lock:
-            return {vm: lease.revision for vm, lease in self._lease_by_vm.items() if now < lease.until}
+            return {vm: lease.revision for vm, lease in self._lease_by_vm.items() if now < lease.expires_at}
 
 
 def rendezvous(name: str, vms: list[Any]) -> Any | None:
-    """Returns the VM with the highest hash for `name`, or None without any.
+    """Selects a VM for `name` by rendezvous hashing; returns None if `vms` is empty.
 
-    A VM that joins or leaves moves only the names that it wins or had won.
+    When a VM joins or leaves, only the names that are assigned to it move.
     """
     return max(vms, key=lambda vm: xxhash.xxh64_intdigest(f"{name}/{vm.id}".encode()), default=None)
--- a/libs/arbutusrill_control/_metrics.py
+++ b/libs/arbutusrill_control/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a control VM in the format of Prometheus."""
+"""Prometheus metrics of a control VM."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
             "workspaces": (len(state.config.workspaces_by_name), "workspaces"),
             "keys": (len(state.config.keys_by_hash), "keys, withdrawn ones included"),
             "journal_entries": (len(state.journal.entries_by_key), "entries of the journal of once-only calls"),
-            "burn_reporters": (self._service.burn.vms(), "VMs whose burn reports count"),
+            "burn_reporters": (self._service.burn.count_reporting_vms(), "VMs whose burn reports count"),
         }
         for name, (value, text) in values.items():
             yield GaugeMetricFamily(f"arbutusrill_control_{name}", text, value=value)
@@ -51,8 +51,8 @@
 
 
 def control_metrics(service: ControlService) -> bytes:
-    """Returns the metrics of `service` as text."""
-    # A registry of its own: an entry role in the same process has the global one.
+    """Returns the metrics of `service` in the Prometheus text format."""
+    # Not the global registry, which an entry role in the same process uses.
     registry = CollectorRegistry()
     registry.register(_ServiceCollector(service))
     return generate_latest(registry)
--- a/libs/arbutusrill_control/_operator.py
+++ b/libs/arbutusrill_control/_operator.py
@@ -1,4 +1,4 @@
-"""HTTP interface for operators on the control VMs."""
+"""HTTP interface of the control VMs for operators."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
 from werkzeug.routing import Map, Rule
 from werkzeug.wrappers import Request, Response
 
-from ._backends import BackendViews
-from ._bodies import plain
+from ._backends import BackendInventory
 from ._changes import OperatorChanges
 from ._metrics import control_metrics
 from ._replicas import ReplicaRoutes
+from ._request_parsing import struct_to_dict
 from ._service import ControlService
 
 __all__ = ["OperatorApp"]
 
-_CONFIRM_S = 1.0
-_LONGEST_WAIT_S = 10.0
-_P = "/v1/operator"
+_CONFIRM_TIMEOUT_S = 1.0
+_MAX_WAIT_S = 10.0
+_PREFIX = "/v1/operator"
 
 
 class OperatorApp:
-    """WSGI application. The leader answers reads after a quorum round, changes are passed on to it.
+    """WSGI application of the operators' interface. A context manager that closes its connections on exit.
 
-    Other control VMs refuse reads with status 421, upon which the command-line tool asks the next one.
-    `token_hash_by_operator` maps operators' names to the SHA-256 of their tokens. Used as a context manager.
+    Reads are linearizable: only the leader answers them, after a quorum has confirmed its leadership. Other control
+    VMs answer reads with status 421, whereupon the command-line tool tries the next VM, and forward changes to the
+    leader. `token_hash_by_operator` maps the names of operators to the SHA-256 of their tokens in hexadecimal.
     """
 
     def __init__(
@@ -43,10 +44,15 @@
     ):
         self._service = service
         self._token_hash_by_operator = token_hash_by_operator
-        self._backends = BackendViews(service.machine.state.config)
+        self._backends = BackendInventory(service.machine.state.config)
         self._changes = OperatorChanges(service.machine.state.config, control, self._backends, clock)
         self._routes = Map(
-            [*self._read_rules(), *self._change_rules(), *self._open_rules(), *ReplicaRoutes(control).rules(_P)]
+            [
+                *self._read_rules(),
+                *self._change_rules(),
+                *self._unauthenticated_rules(),
+                *ReplicaRoutes(control).rules(_PREFIX),
+            ]
         )
 
     def __enter__(self) -> OperatorApp:
@@ -55,7 +61,7 @@
     def __exit__(self, *_: object) -> None:
         self._backends.__exit__()
 
-    def _open_rules(self) -> list[Rule]:
+    def _unauthenticated_rules(self) -> list[Rule]:
         return [
             Rule("/healthz", endpoint=self._healthz, methods=["GET"]),
             Rule("/readyz", endpoint=self._readyz, methods=["GET"]),
@@ -76,7 +82,7 @@
             "replica": self._replica,
             "in-force/<int:revision>": self._in_force,
         }
-        return [Rule(f"{_P}/{path}", endpoint=call, methods=["GET"]) for path, call in endpoint_by_path.items()]
+        return [Rule(f"{_PREFIX}/{path}", endpoint=call, methods=["GET"]) for path, call in endpoint_by_path.items()]
 
     def _change_rules(self) -> list[Rule]:
         changes = self._changes
@@ -91,12 +97,12 @@
             ("DELETE", "keys/<name>", changes.withdraw_key),
             ("PUT", "services/<name>", changes.put_service),
             ("DELETE", "services/<name>", changes.remove_service),
-            ("POST", "backends/<name>/orders", changes.order),
-            ("POST", "backends/<name>/drain", changes.drain),
+            ("POST", "backends/<name>/orders", changes.submit_order),
+            ("POST", "backends/<name>/drain", changes.drain_backend),
             ("DELETE", "orders/<name>", changes.withdraw_order),
             ("PUT", "feature-level", changes.set_feature_level),
         ]
-        return [Rule(f"{_P}/{path}", endpoint=call, methods=[method]) for method, path, call in rows]
+        return [Rule(f"{_PREFIX}/{path}", endpoint=call, methods=[method]) for method, path, call in rows]
 
     def __call__(self, environ: dict, start_response: Callable) -> Any:
         """Serves one request."""
@@ -111,16 +117,16 @@
 
     def _dispatch(self, request: Request) -> Response:
         endpoint, arguments = self._routes.bind_to_environ(request.environ).match()
-        if not request.path.startswith(f"{_P}/"):
+        if not request.path.startswith(f"{_PREFIX}/"):
             return endpoint()
-        actor = self._actor(request)
+        actor = self._authenticate(request)
         if request.method == "GET" and endpoint != self._replica:
-            self._confirm()
+            self._confirm_leadership()
         return endpoint(request, actor, **arguments)
 
-    def _confirm(self) -> None:
+    def _confirm_leadership(self) -> None:
         try:
-            self._service.log.confirm(_CONFIRM_S)
+            self._service.log.confirm(_CONFIRM_TIMEOUT_S)
         except NotLeaderError as error:
             message = f"this control VM does not lead, ask the one with RPC address {error.leader or 'unknown'}"
             raise FailureError(Failure("not_leader", message, status=421)) from None
@@ -128,16 +134,14 @@
             message = f"no quorum of control VMs answers, what this one knows may be old: {error}"
             raise FailureError(Failure("no_quorum", message, status=503, retry_after=1.0)) from None
 
-    def _actor(self, request: Request) -> str:
+    def _authenticate(self, request: Request) -> str:
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
-        given = hashlib.sha256(token.strip().encode()).hexdigest()
-        for operator, known in self._token_hash_by_operator.items():
-            if scheme.lower() == "bearer" and hmac.compare_digest(given, known):
+        token_hash = hashlib.sha256(token.strip().encode()).hexdigest()
+        for operator, expected_hash in self._token_hash_by_operator.items():
+            if scheme.lower() == "bearer" and hmac.compare_digest(token_hash, expected_hash):
                 return operator
         raise FailureError(Failure("bad_operator_token", "the operator token is missing or unknown", status=401))
 
-    # ---- open to all
-
     def _healthz(self) -> Response:
         fault = self._service.log.status().fault
         return json_response({"status": fault or "ok"}, 503 if fault else 200)
@@ -150,18 +154,16 @@
     def _metrics(self) -> Response:
         return Response(control_metrics(self._service), content_type=CONTENT_TYPE_LATEST)
 
-    # ---- reads
-
     @property
     def _config(self) -> Any:
         return self._service.machine.state.config
 
-    def _listed(self, records: dict[str, Any]) -> list[Any]:
+    def _copy_values(self, records: dict[str, Any]) -> list[Any]:
         with self._config.lock:
             return list(records.values())
 
-    def _rows(self, records: dict[str, Any]) -> list[dict[str, Any]]:
-        return [plain(record) for record in self._listed(records)]
+    def _record_rows(self, records: dict[str, Any]) -> list[dict[str, Any]]:
+        return [struct_to_dict(record) for record in self._copy_values(records)]
 
     def _list_defaults(self, request: Request, actor: str) -> Response:
         config = self._config
@@ -178,23 +180,23 @@
         return json_response({"revision": config.revision, "defaults": rows})
 
     def _list_exceptions(self, request: Request, actor: str) -> Response:
-        rows = self._rows(self._config.exceptions_by_id)
+        rows = self._record_rows(self._config.exceptions_by_id)
         return json_response({"revision": self._config.revision, "exceptions": rows})
 
     def _list_workspaces(self, request: Request, actor: str) -> Response:
-        rows = self._rows(self._config.workspaces_by_name)
+        rows = self._record_rows(self._config.workspaces_by_name)
         return json_response({"revision": self._config.revision, "workspaces": rows})
 
     def _list_keys(self, request: Request, actor: str) -> Response:
-        rows = self._rows(self._config.keys_by_hash)
+        rows = self._record_rows(self._config.keys_by_hash)
         for row in rows:
             del row["key_hash"]
         return json_response({"revision": self._config.revision, "keys": rows})
 
     def _list_services(self, request: Request, actor: str) -> Response:
         rows = [
-            {"name": service.name, "routes": [plain(route) for route in service.routes]}
-            for service in self._listed(self._config.services_by_name)
+            {"name": service.name, "routes": [struct_to_dict(route) for route in service.routes]}
+            for service in self._copy_values(self._config.services_by_name)
         ]
         return json_response({"revision": self._config.revision, "services": rows})
 
@@ -203,37 +205,39 @@
         return json_response(
             {
                 "revision": config.revision,
-                "replica": plain(self._service.replica_status()),
-                "vms": self._rows(config.vms_by_id),
-                "pools": self._rows(config.pools_by_name),
+                "replica": struct_to_dict(self._service.replica_status()),
+                "vms": self._record_rows(config.vms_by_id),
+                "pools": self._record_rows(config.pools_by_name),
             }
         )
 
     def _replica(self, request: Request, actor: str) -> Response:
-        """Answers without a quorum, for the search for faults."""
-        return json_response(plain(self._service.replica_status()))
+        """Returns this replica's own view; needs no quorum, so that it also works for troubleshooting."""
+        return json_response(struct_to_dict(self._service.replica_status()))
 
     def _list_backends(self, request: Request, actor: str) -> Response:
-        rows, silent = self._backends.rows()
-        return json_response({"revision": self._config.revision, "backends": rows, "silent_owners": silent})
+        rows, unreachable = self._backends.list_servers()
+        return json_response({"revision": self._config.revision, "backends": rows, "silent_owners": unreachable})
 
     def _list_orders(self, request: Request, actor: str) -> Response:
-        return json_response({"revision": self._config.revision, "orders": self._rows(self._config.orders_by_id)})
+        return json_response(
+            {"revision": self._config.revision, "orders": self._record_rows(self._config.orders_by_id)}
+        )
 
     def _burn(self, request: Request, actor: str) -> Response:
-        return json_response({"vms": self._service.burn.vms(), "burn": self._service.burn.totals()})
+        return json_response({"vms": self._service.burn.count_reporting_vms(), "burn": self._service.burn.totals()})
 
     def _in_force(self, request: Request, actor: str, revision: int) -> Response:
-        """Waits until every VM that is not dead has applied a revision."""
+        """Waits up to `wait_s` seconds until every VM that is not dead has applied a revision."""
         wait_s = request.args.get("wait_s", 5.0, type=float)
-        deadline = time.monotonic() + (min(_LONGEST_WAIT_S, wait_s) if wait_s > 0 else 0.0)
+        deadline = time.monotonic() + (min(_MAX_WAIT_S, wait_s) if wait_s > 0 else 0.0)
         while True:
-            known = self._service.leases.revision_by_vm()
+            revision_by_vm = self._service.leases.revision_by_vm()
             with self._config.lock:
-                # A VM that this leader has not heard from counts as behind until it is declared dead.
+                # A VM that has not polled this leader yet counts as behind until it is declared dead.
                 vms = [vm.id for vm in self._config.vms_by_id.values() if vm.state != "dead"]
-            behind = sorted(vm for vm in vms if known.get(vm, -1) < revision)
+            behind = sorted(vm for vm in vms if revision_by_vm.get(vm, -1) < revision)
             if not behind or time.monotonic() >= deadline:
-                self._confirm()
+                self._confirm_leadership()
                 return json_response({"revision": revision, "in_force": not behind, "behind": behind})
             time.sleep(0.05)
--- a/libs/arbutusrill_control/_replicas.py
+++ b/libs/arbutusrill_control/_replicas.py
@@ -1,4 +1,4 @@
-"""Operators' view of the control group's replicas, and the replacement of a lost one."""
+"""Listing of the control group's replicas and replacement of a lost one."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from werkzeug.routing import Rule
 from werkzeug.wrappers import Request, Response
 
-__all__ = ["ReplicaCalls", "ReplicaRoutes"]
+__all__ = ["ReplicaMethods", "ReplicaRoutes"]
 
-_REPLACE_S = 8.0  # one attempt at the leader, most of it for the catch-up of the new replica
-_CALL_S = 12.0  # below the operators' tool's 15 s
+_REPLACE_TIMEOUT_S = 8.0  # one attempt by the leader; mostly the catch-up of the new replica
+_CALL_TIMEOUT_S = 12.0  # shorter than the request timeout of the command-line tool, 15 s
 
 
-class ReplicaCalls:
-    """Methods of the `Control` RPC service that concern replicas; `log` is a `Replica`."""
+class ReplicaMethods:
+    """Mixin with the methods of the `Control` RPC service that concern replicas."""
 
     log: Replica
 
     def replicas(self) -> list[Any]:
-        """Returns the members of the group; only its leader answers."""
+        """Returns the members of the group; only the leader answers."""
         try:
             rows = self.log.members()
         except NotLeaderError as error:
@@ -40,9 +40,9 @@
         ]
 
     def replace_replica(self, old: str, replacement: str) -> str:
-        """Replaces a member and returns the new member's ID; a repeated call continues an interrupted one."""
+        """Replaces a member and returns the new member's ID; a repeated call resumes an interrupted replacement."""
         try:
-            return self.log.replace(old, replacement, _REPLACE_S)
+            return self.log.replace(old, replacement, _REPLACE_TIMEOUT_S)
         except MembershipError as error:
             raise messages.Refused("membership", str(error)) from None
         except NotLeaderError as error:
@@ -52,7 +52,7 @@
 
 
 class ReplicaRoutes:
-    """Operator routes for replicas, answered through the leader."""
+    """HTTP endpoints for replicas, which call the leader."""
 
     def __init__(self, control: ControlClient):
         self._control = control
@@ -73,16 +73,16 @@
             body = json.loads(request.get_data())
         except ValueError:
             body = None
-        names = [body.get(name) if isinstance(body, dict) else None for name in ("old", "new")]
-        for name, value in zip(("old", "new"), names, strict=True):
+        members = [body.get(name) if isinstance(body, dict) else None for name in ("old", "new")]
+        for name, value in zip(("old", "new"), members, strict=True):
             if not isinstance(value, str) or not value:
                 message = f"{name} must be a text: a member ID or RPC address"
                 raise FailureError(Failure("bad_value", message, status=400, param=name))
-        return json_response({"member": self._call("replace_replica", *names)})
+        return json_response({"member": self._call("replace_replica", *members)})
 
     def _call(self, name: str, *arguments: str) -> Any:
         try:
-            return self._control.call(name, *arguments, timeout=_CALL_S, try_timeout=_REPLACE_S + 1.0)
+            return self._control.call(name, *arguments, timeout=_CALL_TIMEOUT_S, try_timeout=_REPLACE_TIMEOUT_S + 1.0)
         except messages.Refused as refused:
             raise FailureError(Failure(refused.code, refused.message, status=409)) from None
         except ControlUnavailableError as error:
--- a/libs/arbutusrill_control/_shared_machine.py
+++ b/libs/arbutusrill_control/_shared_machine.py
@@ -1,4 +1,4 @@
-"""State machine of the control group's log."""
+"""State machine that the control group's log replicates."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 
 class SharedMachine(StateMachine):
-    """The shared state as the state machine of a log; wakes the followers after each change."""
+    """Adapts `SharedState` to the log and notifies `changed` after each change of the configuration.
+
+    `changed` wakes the long polls that wait for a new revision.
+    """
 
     def __init__(self) -> None:
         self.state = SharedState()
         self.changed = threading.Condition()
 
     def apply(self, data: bytes) -> bytes:
-        """Applies one command."""
+        """Applies one encoded command and returns its encoded outcome."""
         before = self.state.config.revision
-        answer = self.state.apply(data)
-        # The journal's commands do not move the revision and must not wake hundreds of followers.
+        result = self.state.apply(data)
+        # Journal commands leave the revision unchanged and must not wake hundreds of waiting followers.
         if self.state.config.revision != before:
             with self.changed:
                 self.changed.notify_all()
-        return answer
-
-    def wait_beyond(self, revision: int, timeout: float) -> bool:
-        """Waits until the configuration's revision differs from `revision`, at most `timeout` seconds.
+        return result
 
-        Returns whether it does.
-        """
+    def wait_for_change(self, revision: int, timeout: float) -> bool:
+        """Waits at most `timeout` seconds for a revision other than `revision`; returns whether there is one."""
         with self.changed:
             return self.changed.wait_for(lambda: self.state.config.revision != revision, timeout)
 
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
+        """Returns the whole state, encoded."""
         return self.state.snapshot()
 
     def restore(self, data: bytes) -> None:
-        """Replaces the whole state."""
+        """Replaces the whole state by an earlier `snapshot`."""
         self.state.restore(data)
         with self.changed:
             self.changed.notify_all()
--- a/libs/arbutusrill_control/tests/support.py
+++ b/libs/arbutusrill_control/tests/support.py
@@ -1,4 +1,4 @@
-"""A control role on a log of one replica, whose leadership and quorum tests can take away."""
+"""Test harness: a control role in one process, on a log whose leadership and quorum the tests switch on and off."""
 
 import hashlib
 
@@ -13,23 +13,23 @@
 TOKENS = {"ops": "token-1", "night": "token-2"}
 
 
-class SteeredLog(LocalLog):
+class ControllableLog(LocalLog):
     def __init__(self, machine):
         super().__init__(machine, "10.0.0.1:1")
-        self.leads, self.quorum, self.term, self.proposed = True, True, 1, 0
+        self.is_leading, self.has_quorum, self.term, self.proposal_count = True, True, 1, 0
 
     def is_leader(self):
-        return self.leads
+        return self.is_leading
 
     def status(self):
-        found = super().status()
-        found.term = self.term
-        return found
+        status = super().status()
+        status.term = self.term
+        return status
 
     def _check(self):
-        if not self.leads:
+        if not self.is_leading:
             raise NotLeaderError("10.0.0.2:1")
-        if not self.quorum:
+        if not self.has_quorum:
             raise LogUnavailableError("no quorum", appended=False)
 
     def confirm(self, timeout):
@@ -37,32 +37,32 @@
 
     def propose(self, data, timeout):
         self._check()
-        self.proposed += 1
+        self.proposal_count += 1
         return super().propose(data, timeout)
 
 
-class DirectControl:
-    """Stands for a `ControlClient` whose answers can be lost."""
+class InProcessControlClient:
+    """Replaces a `ControlClient`: calls the service directly and can lose responses after the call."""
 
     def __init__(self, service):
         self.service = service
-        self.lose_answers = 0
+        self.responses_to_lose = 0
 
     def call(self, name, *arguments, timeout, try_timeout=1.5):
-        answer = getattr(self.service, name)(*arguments)
-        if self.lose_answers:
-            self.lose_answers -= 1
-            raise ControlUnavailableError("answer lost", True)
-        return answer
+        response = getattr(self.service, name)(*arguments)
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
+            raise ControlUnavailableError("response lost", True)
+        return response
 
 
-class Control:
+class ControlHarness:
     def __init__(self):
         self.clock = ManualClock(100.0)
         self.machine = SharedMachine()
-        self.log = SteeredLog(self.machine)
+        self.log = ControllableLog(self.machine)
         self.service = ControlService(self.log, self.machine, self.clock)
-        self.client = DirectControl(self.service)
+        self.client = InProcessControlClient(self.service)
         hashes = {name: _sha256(token) for name, token in TOKENS.items()}
         self.app = OperatorApp(self.service, self.client, self.clock, hashes)
         self.http = Client(self.app)
@@ -84,7 +84,7 @@
                 self.follow(vm)
             self.service.tick()
 
-    def ask(self, method, path, body=None, operator="ops", request_id="", **query):
+    def request(self, method, path, body=None, operator="ops", request_id="", **query):
         headers = {"Authorization": f"Bearer {TOKENS.get(operator, operator)}"}
         if request_id:
             headers["X-Request-Id"] = request_id
--- a/libs/arbutusrill_control/tests/test_operator.py
+++ b/libs/arbutusrill_control/tests/test_operator.py
@@ -1,50 +1,50 @@
-"""Guards against operators' changes that are made twice, dropped conditions and reads of old state."""
+"""Guards against retried changes that are applied twice, ignored revision conditions and stale reads."""
 
 import pytest
 from arbutusrill_base import hash_key
 from arbutusrill_wire import messages
 
-from .support import Control
+from .support import ControlHarness
 
 
 @pytest.fixture
 def control():
-    made = Control()
-    assert made.ask("PUT", "workspaces/w", {"rate": 100, "burst": 1000}).status_code == 200
-    return made
+    harness = ControlHarness()
+    assert harness.request("PUT", "workspaces/w", {"rate": 100, "burst": 1000}).status_code == 200
+    return harness
 
 
-def test_resent_key_request_shows_the_stored_key(control):
-    control.client.lose_answers = 1
-    assert control.ask("POST", "keys", {"workspace": "w"}, request_id="r1").status_code == 503
-    answers = [control.ask("POST", "keys", {"workspace": "w"}, request_id="r1").json for _ in range(2)]
-    assert answers[0] == answers[1]
-    assert control.config.workspace_of_key(hash_key(answers[0]["key"])) == "w"
+def test_resent_key_request_returns_the_stored_key(control):
+    control.client.responses_to_lose = 1
+    assert control.request("POST", "keys", {"workspace": "w"}, request_id="r1").status_code == 503
+    responses = [control.request("POST", "keys", {"workspace": "w"}, request_id="r1").json for _ in range(2)]
+    assert responses[0] == responses[1]
+    assert control.config.workspace_of_key(hash_key(responses[0]["key"])) == "w"
     assert len(control.config.keys_by_hash) == 1
 
 
-def test_key_of_another_token_is_not_shown_with_a_wrong_secret(control):
-    control.ask("POST", "keys", {"workspace": "w"}, request_id="r1")
+def test_resend_with_another_token_does_not_return_a_wrong_key(control):
+    control.request("POST", "keys", {"workspace": "w"}, request_id="r1")
     control.app._token_hash_by_operator["ops"] = hash_key("token-3")  # the operator's token was replaced
-    answer = control.ask("POST", "keys", {"workspace": "w"}, operator="token-3", request_id="r1")
-    assert answer.status_code == 409 and answer.json["error"]["code"] == "key_shown"
+    response = control.request("POST", "keys", {"workspace": "w"}, operator="token-3", request_id="r1")
+    assert response.status_code == 409 and response.json["error"]["code"] == "key_shown"
 
 
 def test_two_requests_issue_two_keys(control):
-    first, second = (control.ask("POST", "keys", {"workspace": "w"}).json for _ in range(2))
+    first, second = (control.request("POST", "keys", {"workspace": "w"}).json for _ in range(2))
     assert first["key"] != second["key"] and first["id"] != second["id"]
 
 
 @pytest.mark.parametrize("text", ["abc", "-1", "1.5", "", "9" * 30])
-def test_unreadable_condition_is_refused_and_not_dropped(control, text):
-    answer = control.ask("PUT", "defaults/limits.rate", {"value": 5}, if_revision=text)
-    assert answer.status_code == 400 and control.config.value("limits.rate") == 2000.0
+def test_invalid_if_revision_is_refused_and_not_ignored(control, text):
+    response = control.request("PUT", "defaults/limits.rate", {"value": 5}, if_revision=text)
+    assert response.status_code == 400 and control.config.value("limits.rate") == 2000.0
 
 
-def test_lost_race_is_told(control):
+def test_second_change_at_the_same_revision_conflicts(control):
     revision = control.config.revision
     statuses = [
-        control.ask("PUT", "defaults/limits.rate", {"value": value}, if_revision=revision).status_code
+        control.request("PUT", "defaults/limits.rate", {"value": value}, if_revision=revision).status_code
         for value in (5, 6)
     ]
     assert statuses == [200, 409] and control.config.value("limits.rate") == 5.0
@@ -54,16 +54,16 @@
     "body", [{"rate": 10**400, "burst": 1}, {"rate": "5"}, {"rate": True}, {"rate": -5, "burst": 5}, [], "x"]
 )
 def test_malformed_workspace_is_refused(control, body):
-    assert control.ask("PUT", "workspaces/v", body).status_code == 400
+    assert control.request("PUT", "workspaces/v", body).status_code == 400
 
 
 def test_reads_without_leadership_or_quorum_are_refused(control):
     paths = ("defaults", "exceptions", "workspaces", "keys", "services", "backends", "orders", "burn", "status")
-    control.log.leads = False
-    assert {control.ask("GET", path).status_code for path in paths} == {421}
-    control.log.leads, control.log.quorum = True, False
-    assert {control.ask("GET", path).status_code for path in paths} == {503}
-    assert control.ask("GET", "replica").status_code == 200
+    control.log.is_leading = False
+    assert {control.request("GET", path).status_code for path in paths} == {421}
+    control.log.is_leading, control.log.has_quorum = True, False
+    assert {control.request("GET", path).status_code for path in paths} == {503}
+    assert control.request("GET", "replica").status_code == 200
 
 
 def test_every_route_needs_a_token(control):
@@ -71,21 +71,21 @@
         if rule.rule.startswith("/v1/operator/"):
             path = rule.rule.replace("<name>", "n").replace("<int:revision>", "1")
             method = next(iter(rule.methods - {"HEAD"}))
-            assert control.ask(method, path, operator="wrong").status_code == 401, path
+            assert control.request(method, path, operator="wrong").status_code == 401, path
 
 
 def test_resent_order_is_one_order(control):
     body = {"action": "load_model", "argument": {"model": "m"}, "pool": "p"}
-    answers = [control.ask("POST", "backends/e1/orders", body, request_id="r1").json for _ in range(3)]
-    assert answers[0] == answers[1] == answers[2]
-    assert list(control.config.orders_by_id) == [answers[0]["id"]]
+    responses = [control.request("POST", "backends/e1/orders", body, request_id="r1").json for _ in range(3)]
+    assert responses[0] == responses[1] == responses[2]
+    assert list(control.config.orders_by_id) == [responses[0]["id"]]
 
 
-def test_only_some_loads_run_at_once_and_drains_do_not_wait(control):
-    control.ask("PUT", "defaults/orders.parallel", {"value": 2})
+def test_parallel_loads_are_limited_and_drains_are_not(control):
+    control.request("PUT", "defaults/orders.parallel", {"value": 2})
     for number in range(5):
-        control.ask("POST", f"backends/e{number}/orders", {"action": "load_model", "argument": {}, "pool": "p"})
-    control.ask("POST", "backends/e9/drain", {"pool": "p"})
+        control.request("POST", f"backends/e{number}/orders", {"action": "load_model", "argument": {}, "pool": "p"})
+    control.request("POST", "backends/e9/drain", {"pool": "p"})
     control.service.tick()
     states = [order.state for order in control.config.orders_by_id.values() if order.action == "load_model"]
     assert sorted(states) == ["released"] * 2 + ["requested"] * 3
@@ -100,42 +100,42 @@
 
 
 def test_running_order_cannot_be_withdrawn(control):
-    order_id = control.ask("POST", "backends/e/orders", {"action": "load_model", "pool": "p"}).json["id"]
-    other = control.ask("POST", "backends/f/orders", {"action": "load_model", "pool": "p"}).json["id"]
-    assert control.ask("DELETE", f"orders/{other}").status_code == 200
-    known = control.config.orders_by_id[order_id]
+    order_id = control.request("POST", "backends/e/orders", {"action": "load_model", "pool": "p"}).json["id"]
+    other = control.request("POST", "backends/f/orders", {"action": "load_model", "pool": "p"}).json["id"]
+    assert control.request("DELETE", f"orders/{other}").status_code == 200
+    order = control.config.orders_by_id[order_id]
     for state in ("released", "running"):
-        control.service._change(messages.PutOrder(**{**vars(known), "state": state}))
-    assert control.ask("DELETE", f"orders/{order_id}").status_code == 409
+        control.service._propose_change(messages.PutOrder(**{**vars(order), "state": state}))
+    assert control.request("DELETE", f"orders/{order_id}").status_code == 409
 
 
-def test_order_for_an_unknown_server_names_what_is_missing(control):
-    answer = control.ask("POST", "backends/nobody/orders", {"action": "load_model"})
-    assert answer.status_code == 404 and "pool" in answer.json["error"]["message"]
+def test_order_for_an_unknown_server_names_the_missing_pool(control):
+    response = control.request("POST", "backends/nobody/orders", {"action": "load_model"})
+    assert response.status_code == 404 and "pool" in response.json["error"]["message"]
 
 
 def test_burn_rows_are_summed_over_vms_and_replaced_by_later_ones(control):
     for vm, good in (("a", 5), ("b", 7), ("a", 9)):
         control.service.report_burn(vm, 1, [messages.BurnRow("w", "chat", "first_token", 3600, good, 1)])
-    rows = control.ask("GET", "burn").json["burn"]
+    rows = control.request("GET", "burn").json["burn"]
     assert [(row["good"], row["bad"], row["bad_fraction"]) for row in rows] == [(16, 2, round(2 / 18, 6))]
     control.clock.advance(500)
-    assert control.ask("GET", "burn").json["burn"] == []
+    assert control.request("GET", "burn").json["burn"] == []
 
 
-def test_in_force_waits_for_vms_that_a_new_leader_has_not_heard(control):
+def test_in_force_waits_for_vms_that_have_not_polled_the_new_leader(control):
     control.follow("a")
     control.log.term = 2
     control.service.tick()
     revision = control.config.revision
-    answer = control.ask("GET", f"in-force/{revision}", wait_s="0").json
-    assert answer == {"revision": revision, "in_force": False, "behind": ["a"]}
+    response = control.request("GET", f"in-force/{revision}", wait_s="0").json
+    assert response == {"revision": revision, "in_force": False, "behind": ["a"]}
     control.follow("a")
-    assert control.ask("GET", f"in-force/{revision}", wait_s="0").json["in_force"]
+    assert control.request("GET", f"in-force/{revision}", wait_s="0").json["in_force"]
 
 
 def test_health_and_metrics_need_no_token_and_no_quorum(control):
-    control.log.quorum = False
+    control.log.has_quorum = False
     assert control.http.get("/healthz").status_code == 200
     assert control.http.get("/readyz").status_code == 200
     text = control.http.get("/metrics").text
--- a/libs/arbutusrill_control/tests/test_service.py
+++ b/libs/arbutusrill_control/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Guards against pools with two owners, VMs declared dead too early and followers that are wrongly fresh."""
+"""Guards against pools with two owners, VMs declared dead too early and followers that use stale state as fresh."""
 
 import threading
 import time
@@ -10,47 +10,47 @@
 
 from arbutusrill_control import VmLeases, rendezvous
 
-from .support import Control, DirectControl
+from .support import ControlHarness, InProcessControlClient
 
 
 @pytest.fixture
 def control():
-    return Control()
+    return ControlHarness()
 
 
-def open_pools(control, count=12):
+def open_numbered_pools(control, count=12):
     for number in range(count):
         control.service.open_pool(f"p{number}", "model")
 
 
-def owners(control):
+def owner_by_pool(control):
     return {pool.name: pool.owner for pool in control.config.pools_by_name.values()}
 
 
-def test_pools_of_a_silent_vm_go_to_the_live_ones_with_a_higher_epoch(control):
+def test_pools_of_a_vm_with_an_expired_lease_move_to_live_vms_with_a_higher_epoch(control):
     for vm in "abc":
         control.follow(vm)
-    open_pools(control)
-    before = owners(control)
+    open_numbered_pools(control)
+    before = owner_by_pool(control)
     assert set(before.values()) == set("abc")
     control.run(3, "ab")
     assert control.config.vms_by_id["c"].state == "dead"
-    after = owners(control)
+    after = owner_by_pool(control)
     assert {name for name in before if before[name] != after[name]} == {name for name in before if before[name] == "c"}
     assert all(control.config.pools_by_name[name].epoch == 2 for name in before if before[name] == "c")
 
 
-def test_vm_keeps_its_pools_for_its_lease_and_the_drift(control):
+def test_vm_keeps_its_pools_until_lease_and_clock_drift_have_passed(control):
     control.run(2)
     control.follow("a")
     control.follow("b")
-    open_pools(control)
-    before = owners(control)
-    for _ in range(13):  # 1.3 s of a lease of 1.2 s and a drift of 0.2 s
+    open_numbered_pools(control)
+    before = owner_by_pool(control)
+    for _ in range(13):  # 1.3 s, less than the lease of 1.2 s plus the clock drift of 0.2 s
         control.clock.advance(0.1)
         control.follow("b")
         control.service.tick()
-    assert owners(control) == before
+    assert owner_by_pool(control) == before
 
 
 def test_new_leader_waits_one_lease_before_it_declares_a_vm_dead(control):
@@ -69,13 +69,13 @@
     leases = VmLeases(clock)
     leases.begin_term()
     clock.advance(5)
-    assert leases.end("a", 1)
+    assert leases.end_if_expired("a", 1)
     assert leases.renew("a", 1, 0, clock.monotonic()) == 0.0
-    leases.forget("a", 1)
+    leases.drop_ended("a", 1)
     assert leases.renew("a", 1, 0, clock.monotonic()) > 0
 
 
-def test_dead_vm_registers_anew_and_gets_a_lease(control):
+def test_dead_vm_registers_again_and_gets_a_lease(control):
     control.follow("a")
     control.run(3)
     assert control.config.vms_by_id["a"].state == "dead"
@@ -86,19 +86,19 @@
 def test_draining_vm_gets_no_pools_and_its_released_pools_move(control):
     for vm in "ab":
         control.follow(vm)
-    open_pools(control)
+    open_numbered_pools(control)
     identity = VmIdentity("a", 1, "a:1", "a:2", "dc")
-    follower = Follower(identity, DirectControl(control.service), control.clock)
+    follower = Follower(identity, InProcessControlClient(control.service), control.clock)
     follower.drain()
     follower.poll(0)
     while follower.config.revision < control.config.revision:
         follower.poll(0)
     assert follower.release_pools(1.0)
     control.service.tick()
-    assert set(owners(control).values()) == {"b"}
+    assert set(owner_by_pool(control).values()) == {"b"}
 
 
-def test_dead_vm_is_forgotten_after_a_while(control):
+def test_dead_vm_is_removed_after_its_retention_time(control):
     control.follow("a")
     control.run(3)
     control.clock.advance(600)
@@ -106,7 +106,7 @@
     assert "a" not in control.config.vms_by_id
 
 
-def test_rendezvous_moves_only_the_names_of_the_vm_that_left():
+def test_rendezvous_moves_only_the_names_of_the_removed_vm():
     vms = [messages.PutVm(f"v{number}") for number in range(6)]
     names = [f"p{number}" for number in range(300)]
     before = {name: rendezvous(name, vms).id for name in names}
@@ -115,7 +115,7 @@
     assert min(list(before.values()).count(vm.id) for vm in vms) > 20
 
 
-def test_follower_far_behind_is_fresh_only_after_the_last_part(control):
+def test_follower_far_behind_is_fresh_only_after_the_last_batch(control):
     for number in range(450):
         change = messages.SetDefault("limits.rate", str(number + 1))
         control.service.propose(command(change, "t", 0, f"r{number}"))
@@ -127,27 +127,27 @@
     assert len(states) == 3 and states[-1] == control.config.revision
 
 
-def test_follower_is_not_fresh_with_a_group_that_lost_its_state(control):
+def test_follower_is_not_fresh_when_the_group_lost_its_state(control):
     control.service.propose(command(messages.SetDefault("limits.rate", "5"), "t", 0))
     follower = Follower(VmIdentity("a", 1, "a:1", "a:2", "dc"), control.client, control.clock)
     follower.poll(0)
     before = follower.config.revision
     control.clock.advance(10)
-    follower._control = Control().client
+    follower._control = ControlHarness().client
     follower.poll(0)
     assert not follower.fresh() and follower.config.revision == before
 
 
-def test_freshness_counts_from_when_the_request_was_sent(control):
+def test_freshness_is_measured_from_sending_the_request(control):
     follower = Follower(VmIdentity("a", 1, "a:1", "a:2", "dc"), control.client, control.clock)
 
-    class Slow:
+    class SlowControlClient:
         def call(self, *arguments, **options):
-            answer = control.client.call(*arguments, **options)
+            response = control.client.call(*arguments, **options)
             control.clock.advance(2.9)
-            return answer
+            return response
 
-    follower._control = Slow()
+    follower._control = SlowControlClient()
     follower.poll(0)
     assert follower.fresh() and not follower.holds_lease()
     control.clock.advance(0.2)
@@ -156,19 +156,19 @@
 
 def test_journal_commands_do_not_wake_followers(control):
     started = time.monotonic()
-    woken = []
+    elapsed_s = []
     revision = control.config.revision
     thread = threading.Thread(
-        target=lambda: (control.machine.wait_beyond(revision, 0.5), woken.append(time.monotonic() - started))
+        target=lambda: (control.machine.wait_for_change(revision, 0.5), elapsed_s.append(time.monotonic() - started))
     )
     thread.start()
     for number in range(20):
         control.service.begin_call(command(messages.JournalBegin("w", f"k{number}", b"d", "a", 1), "a", 0))
     thread.join()
-    assert woken[0] >= 0.5
+    assert elapsed_s[0] >= 0.5
 
 
-def test_sweep_counts_time_of_the_leader_and_not_of_the_wall_clock(control):
+def test_journal_sweep_uses_the_leaders_monotonic_clock(control):
     control.follow("a")
     control.service.propose(command(messages.SetDefault("journal.retention_s", "60"), "t", 0))
     control.service.begin_call(command(messages.JournalBegin("w", "k", b"d", "a", 1), "a", 0, "b1"))
@@ -180,44 +180,47 @@
     assert not control.machine.state.journal.entries_by_key
 
 
-def test_grants_stop_without_a_quorum_and_start_anew_in_a_new_term(control):
+def test_grants_need_a_quorum_and_a_new_term_starts_with_empty_buckets(control):
     control.service.propose(command(messages.PutWorkspace("w", 100.0, 1000.0), "t", 0))
     control.clock.advance(30)
 
-    def ask(sequence):
+    def request_tokens(sequence):
         item = messages.GrantItem("w", 500.0, 0.0, 500.0)
         return control.service.grant(messages.GrantRequest("a", 1, [item], 0, sequence)).grants[0].tokens
 
-    assert ask(1) == 500
-    control.log.quorum = False
+    assert request_tokens(1) == 500
+    control.log.has_quorum = False
     with pytest.raises(messages.Refused, match="unavailable"):
-        ask(2)
-    control.log.quorum, control.log.term = True, 2
-    assert ask(2) == 0
+        request_tokens(2)
+    control.log.has_quorum, control.log.term = True, 2
+    assert request_tokens(2) == 0
 
 
-def test_refused_begin_is_no_answer(control):
+def test_refused_begin_call_raises_refused(control):
     with pytest.raises(messages.Refused, match="bad_value"):
         control.service.begin_call(command(messages.JournalBegin("w", "", b"d", "a", 1), "a", 0))
 
 
-def test_level_that_no_replica_knows_does_not_reach_the_log(control):
-    before = control.log.proposed
+def test_unsupported_feature_level_is_not_appended_to_the_log(control):
+    before = control.log.proposal_count
     with pytest.raises(messages.Refused, match="feature_level"):
         control.service.propose(command(messages.SetFeatureLevel(99), "t", 0))
-    assert control.log.proposed == before
+    assert control.log.proposal_count == before
 
 
-def test_lease_counts_from_the_arrival_of_the_request():
-    """Counted from the answer, a VM frozen in its long poll kept its pools 0.4 s longer than the design allows."""
+def test_lease_runs_from_the_arrival_of_the_request():
+    """Guards against leases that run from the response.
+
+    A VM that froze during its long poll then kept its pools 0.4 s longer than the design allows.
+    """
     clock = ManualClock()
     leases = VmLeases(clock)
     leases.begin_term()
     clock.advance(5)
-    arrived = clock.monotonic()
+    received_at = clock.monotonic()
     clock.advance(0.4)
-    leases.renew("a", 1, 0, arrived)
+    leases.renew("a", 1, 0, received_at)
     clock.advance(0.9)
-    assert leases.alive("a", 1)
+    assert leases.may_be_valid("a", 1)
     clock.advance(0.2)
-    assert not leases.alive("a", 1)
+    assert not leases.may_be_valid("a", 1)
