--- a/libs/arbutusrill_burn/__init__.py
+++ b/libs/arbutusrill_burn/__init__.py
@@ -1,4 +1,4 @@
-"""Service levels: counts of good and bad requests, burn rates over several windows, and a report."""
+"""Service level objectives: counts of good and bad requests, error budget burn rates over windows, and a report."""
 
 from ._counter import WINDOWS_S, BurnCount, BurnCounter
 from ._rates import BurnRate, burn_rates
