--- a/libs/arbutusrill_daemon/_roles.py
+++ b/libs/arbutusrill_daemon/_roles.py
@@ -1,4 +1,4 @@
-"""The roles that a daemon can take, as context managers that serve until they are left."""
+"""Roles of a daemon, as context managers that start serving on entry and shut down on exit."""
 
 from __future__ import annotations
 
@@ -32,30 +32,30 @@
 __all__ = ["run_roles"]
 
 _log = PartLog("daemon")
-_TICK_S = 0.1
-_CONTROL_CONNECTIONS = 1024  # each of 390 nodes holds one for its long poll and one or two for calls
-_FLUSH_S = 5.0  # for recording outcomes at the end when the control group is briefly away
-_RETURN_S = 1.0  # for returning unspent tokens at the end; they are lost to the workspace otherwise
-_POOL_TICK_S = 0.1
-_PROPOSE_S = 3.0
-_RESERVE = 32  # connections for announcements and health checks beyond the callers' bound
+_CONTROL_TICK_INTERVAL_S = 0.1
+_MAX_CONTROL_CONNECTIONS = 1024  # each of 390 nodes uses one for its long poll and one or two for calls
+_JOURNAL_FLUSH_TIMEOUT_S = 5.0  # lets outcomes be recorded at shutdown after a short outage of the control group
+_TOKEN_RETURN_TIMEOUT_S = 1.0  # unspent tokens that are not returned at shutdown are lost to the workspace
+_POOL_TICK_INTERVAL_S = 0.1
+_PROPOSE_TIMEOUT_S = 3.0
+_RESERVED_CONNECTIONS = 32  # for announcements and health checks when callers use all other connections
 
 
-def run_roles(settings: DaemonSettings, stopping: threading.Event, hurry: threading.Event) -> None:
-    """Serves all roles of `settings` until `stopping` is set, then leaves them in order.
+def run_roles(settings: DaemonSettings, stopping: threading.Event, force_stop: threading.Event) -> None:
+    """Serves all roles in `settings` until `stopping` is set, then shuts them down, the entry role first.
 
-    An entry VM finishes its requests first, unless `hurry` is set.
+    The entry role drains before it stops; setting `force_stop` ends the drain early.
     """
     with contextlib.ExitStack() as stack:
         if settings.control is not None:
-            stack.enter_context(_control(settings))
+            stack.enter_context(_serve_control(settings))
         if settings.entry is not None:
-            stack.enter_context(_entry(settings, hurry))
+            stack.enter_context(_serve_entry(settings, force_stop))
         stopping.wait()
 
 
 @contextlib.contextmanager
-def _control(settings: DaemonSettings):
+def _serve_control(settings: DaemonSettings):
     role = settings.control
     clock = SystemClock()
     machine = SharedMachine()
@@ -70,21 +70,21 @@
             RpcServer(
                 *split_address(role.rpc),
                 {messages.Control: service, messages.Raft: log.handler},
-                limit=_CONTROL_CONNECTIONS,
+                limit=_MAX_CONTROL_CONNECTIONS,
             ),
             HttpServer(*split_address(role.http), operators),
         ):
-            tasks.every(_TICK_S, service.tick)
+            tasks.every(_CONTROL_TICK_INTERVAL_S, service.tick)
             yield
 
 
-def _limits(follower: Follower, workspace: str) -> Limits | None:
-    found = follower.config.limits_of(workspace)
-    return None if found is None else Limits(*found)
+def _workspace_limits(follower: Follower, workspace: str) -> Limits | None:
+    limits = follower.config.limits_of(workspace)
+    return None if limits is None else Limits(*limits)
 
 
 @contextlib.contextmanager
-def _entry(settings: DaemonSettings, hurry: threading.Event):
+def _serve_entry(settings: DaemonSettings, force_stop: threading.Event):
     role = settings.entry
     clock = SystemClock()
     incarnation = new_incarnation()
@@ -102,10 +102,10 @@
             report_order=lambda record: _report_order(client, settings.vm, clock, record),
         )
         stack.callback(directory.close)
-        follower.on_change(lambda: _reconcile(directory, follower.config))
-        context = _context(stack, follower, client, directory)
+        follower.on_change(lambda: _reconcile_directory(directory, follower.config))
+        context = _build_entry_context(stack, follower, client, directory)
         application = EntryApp(context, role.announce_token_sha256)
-        limits = HttpLimits(connections=role.connections, reserve=_RESERVE, reserved_paths=RESERVED_PATHS)
+        limits = HttpLimits(connections=role.connections, reserve=_RESERVED_CONNECTIONS, reserved_paths=RESERVED_PATHS)
         with (
             RpcServer(*split_address(role.rpc), {messages.Pool: directory}),
             HttpServer(*split_address(role.http), application, limits) as server,
@@ -114,36 +114,40 @@
             follower.start(tasks)
             context.limits.start(tasks)
             context.journal.start(tasks)
-            tasks.every(_POOL_TICK_S, directory.tick)
+            tasks.every(_POOL_TICK_INTERVAL_S, directory.tick)
             tasks.every(REPORT_S, lambda: report_burn(context))
             yield
-            Drain(context, application, server, hurry).run(role.drain_limit_s)
-        context.limits.drain(clock.monotonic() + _RETURN_S)
-        if not context.journal.flush(clock.monotonic() + _FLUSH_S):
-            _log.warning("outcomes of once-only calls are not recorded, resends will be told that they are unknown")
+            Drain(context, application, server, force_stop).run(role.drain_limit_s)
+        context.limits.drain(clock.monotonic() + _TOKEN_RETURN_TIMEOUT_S)
+        if not context.journal.flush(clock.monotonic() + _JOURNAL_FLUSH_TIMEOUT_S):
+            _log.warning(
+                "stopping with unrecorded outcomes of once-only calls; resends of these calls get an unknown outcome"
+            )
         report_burn(context)
 
 
-def _context(
+def _build_entry_context(
     stack: contextlib.ExitStack, follower: Follower, client: ControlClient, directory: PoolDirectory
 ) -> EntryContext:
     clock = SystemClock()
-    me = follower.identity
+    identity = follower.identity
     pools = stack.enter_context(contextlib.closing(PoolClients(follower, client, directory)))
     tokens = TokenLeases(
-        me.vm,
-        me.incarnation,
+        identity.vm,
+        identity.incarnation,
         lambda request: client.call("grant", request, timeout=1.0),
-        lambda workspace: _limits(follower, workspace),
+        lambda workspace: _workspace_limits(follower, workspace),
         clock,
     )
-    journal = JournalClient(me.vm, me.incarnation, client, clock)
-    held = stack.enter_context(HeldTickets(pools, me.vm, me.incarnation))
+    journal = JournalClient(identity.vm, identity.incarnation, client, clock)
+    held_tickets = stack.enter_context(HeldTickets(pools, identity.vm, identity.incarnation))
     cleanup = stack.enter_context(Cleanup())
-    return EntryContext(follower, client, pools, tokens, journal, clock, cleanup, held, RetryBudget(), Meters(clock))
+    return EntryContext(
+        follower, client, pools, tokens, journal, clock, cleanup, held_tickets, RetryBudget(), Meters(clock)
+    )
 
 
-def _reconcile(directory: PoolDirectory, config: ConfigState) -> None:
+def _reconcile_directory(directory: PoolDirectory, config: ConfigState) -> None:
     with config.lock:
         pools = list(config.pools_by_name.values())
         vms = list(config.vms_by_id.values())
@@ -152,7 +156,7 @@
 
 
 def _report_order(client: ControlClient, vm: str, clock: Clock, record: Any) -> bool:
-    return client.call("propose", command(record, vm, clock.wall_ms()), timeout=_PROPOSE_S).accepted
+    return client.call("propose", command(record, vm, clock.wall_ms()), timeout=_PROPOSE_TIMEOUT_S).accepted
 
 
 def _add_gauges(context: EntryContext, server: HttpServer) -> None:
--- a/libs/arbutusrill_daemon/_settings.py
+++ b/libs/arbutusrill_daemon/_settings.py
@@ -21,19 +21,19 @@
         raise ValueError(f"{key}: expected an address IP:port with a port from 1 to 65535")
 
 
-Digest = Annotated[str, Meta(pattern="^[0-9a-f]{64}$")]
+Sha256Hex = Annotated[str, Meta(pattern="^[0-9a-f]{64}$")]
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern="^[A-Za-z0-9._-]+$")]
 
 
 class EntrySettings(Section):
-    """An entry VM: `http` serves callers, `rpc` the other VMs.
+    """Settings of the entry role: `http` is the address for callers, `rpc` the address for other VMs.
 
-    After a first SIGTERM, requests under way may take `drain_limit_s` seconds before they are cut.
+    After the first SIGTERM, running requests have at most `drain_limit_s` seconds to finish before they are aborted.
     """
 
     http: str
     rpc: str
-    announce_token_sha256: Digest
+    announce_token_sha256: Sha256Hex
     connections: Annotated[int, Meta(ge=8, le=4096)] = 512
     drain_limit_s: Annotated[float, Meta(ge=0, le=86_400)] = 3600.0
 
@@ -43,12 +43,12 @@
 
 
 class ControlSettings(Section):
-    """A control VM: `rpc` serves the other VMs, `http` the operators."""
+    """Settings of the control role: `rpc` is the address for other VMs, `http` the address for operators."""
 
     rpc: str
     http: str
     data_folder: Annotated[str, Meta(min_length=1)]
-    operator_token_sha256_by_name: Annotated[dict[Name, Digest], Meta(min_length=1)]
+    operator_token_sha256_by_name: Annotated[dict[Name, Sha256Hex], Meta(min_length=1)]
 
     def __post_init__(self) -> None:
         _check_address("rpc", self.rpc)
@@ -56,7 +56,7 @@
 
 
 class DaemonSettings(Section):
-    """A whole settings file."""
+    """Top level of the settings file; at least one of `entry` and `control` is required."""
 
     vm: Name
     data_centre: Name
@@ -71,4 +71,4 @@
         if self.entry is None and self.control is None:
             raise ValueError("(top level): expected a section entry or control")
         if self.control is not None and self.control.rpc not in self.control_addresses:
-            raise ValueError("control.rpc: expected it among control_addresses")
+            raise ValueError("control.rpc: expected one of control_addresses")
--- a/libs/arbutusrill_daemon/tests/test_drain.py
+++ b/libs/arbutusrill_daemon/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Guards against a shutdown that cuts requests, keeps callers coming or never ends."""
+"""Guards against a shutdown that aborts running requests, keeps receiving new callers or never finishes."""
 
 import json
 import signal
@@ -58,13 +58,13 @@
         site.kill_all()
 
 
-def test_graceful_shutdown_serves_on_and_cuts_nothing(caller):
+def test_graceful_shutdown_finishes_running_requests_and_serves_late_callers(caller):
     site = caller.site
     thread, answers = caller.in_background("entry1", 600)
     site.wait_until(lambda: caller.busy("entry1"), "the stream runs")
     site.signal("entry1", signal.SIGTERM)
-    site.wait_until(lambda: caller.get("entry1", "/readyz").status == 503, "readyz says that the VM leaves")
-    assert caller.stream("entry1", 1), "a new caller is served while others still know the address"
+    site.wait_until(lambda: caller.get("entry1", "/readyz").status == 503, "readyz reports that the VM drains")
+    assert caller.stream("entry1", 1), "a new caller is served while other VMs still list the address"
     address = site.members_by_name["entry1"].address
 
     def listed():
@@ -81,12 +81,12 @@
     assert caller.key not in site.log("entry1")
 
 
-def test_second_signal_cuts_what_is_left(caller):
+def test_second_signal_aborts_running_requests(caller):
     site = caller.site
     thread, answers = caller.in_background("entry1", 20_000)
     site.wait_until(lambda: caller.busy("entry1"), "the stream runs")
     site.signal("entry1", signal.SIGTERM)
-    site.wait_until(lambda: caller.get("entry1", "/readyz").status == 503, "readyz says that the VM leaves")
+    site.wait_until(lambda: caller.get("entry1", "/readyz").status == 503, "readyz reports that the VM drains")
     started = time.monotonic()
     site.signal("entry1", signal.SIGTERM)
     assert site.members_by_name["entry1"].process.wait(30) == 0
@@ -96,7 +96,7 @@
     assert "ended early by a second signal" in site.log("entry1")
 
 
-def test_counts_reach_the_operators(caller):
+def test_burn_counts_are_shown_to_operators(caller):
     def counted():
         rows = caller.site.operators.call("GET", "/burn")["burn"]
         return {row["target"] for row in rows if row["workspace"] == "dispatch" and row["route"] == "completions"}
--- a/libs/arbutusrill_daemon/tests/test_main.py
+++ b/libs/arbutusrill_daemon/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Guards against a daemon that starts with wrong settings, or refuses them with a traceback."""
+"""Guards against a daemon that accepts invalid settings or reports them with a traceback."""
 
 import json
 import subprocess
@@ -30,7 +30,7 @@
         ('{"vm": ', "expected JSON"),
     ],
 )
-def test_wrong_settings_give_one_line_and_exit_code_2(tmp_path, text, expected):
+def test_invalid_settings_give_one_line_and_exit_code_2(tmp_path, text, expected):
     path = tmp_path / "settings.json"
     path.write_text(text)
     done = run_daemon(path)
--- a/libs/arbutusrill_daemon/tests/test_storage.py
+++ b/libs/arbutusrill_daemon/tests/test_storage.py
@@ -1,11 +1,11 @@
-"""Guards against a control VM that starts on damaged files."""
+"""Guards against a control VM that starts with a damaged log file."""
 
 import subprocess
 
 from arbutusrill_bench import LocalSite
 
 
-def test_damaged_log_is_refused_with_one_line():
+def test_damaged_log_file_gives_one_line_and_exit_code_3():
     with LocalSite(controls=1, entries=0) as site:
         for number in range(3):
             site.operators.call("PUT", f"/workspaces/w{number}", {"rate": 1, "burst": 1})
