--- a/libs/arbutusrill_cli/__init__.py
+++ b/libs/arbutusrill_cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command-line tool `arbutusrill`."""
+"""Command-line tool `arbutusrill` for operators."""
 
 from ._client import EXIT_NO_CONTROL, OperatorClient, OperatorError
 from ._main import main
--- a/libs/arbutusrill_cli/_client.py
+++ b/libs/arbutusrill_cli/_client.py
@@ -1,8 +1,8 @@
 """HTTP client of the operators' interface.
 
-Exit codes of the tool: 0 done, 1 fault of the tool, 2 wrong usage or settings, 3 refused (nothing was changed),
-4 no control VM with a quorum answered (a change may have been made: send it again with the same request id),
-5 accepted, but not in force on every VM in the time that ``--wait`` allows.
+Exit codes of the tool: 0 success, 1 internal error, 2 wrong usage or settings, 3 refused (nothing was changed),
+4 no control VM with a quorum answered (the change may have been made: repeat it with the same request ID),
+5 accepted, but not in force on every VM within the time limit of ``--wait``.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 EXIT_REFUSED = 3
 EXIT_NO_CONTROL = 4
 EXIT_NOT_IN_FORCE = 5
-_RETRY_S = 8.0  # more than two elections of the control group
-_PAUSE_S = 0.2
-_TIMEOUT_S = 15.0
+_RETRY_DURATION_S = 8.0  # longer than two leader elections of the control group
+_RETRY_PAUSE_S = 0.2
+_REQUEST_TIMEOUT_S = 15.0
 
 
 class OperatorError(Exception):
-    """A command that failed; `exit_code` is what the tool exits with."""
+    """A command failed; `exit_code` is the exit code of the tool."""
 
     def __init__(self, message: str, exit_code: int):
         super().__init__(message)
@@ -35,7 +35,7 @@
 
 
 class OperatorClient:
-    """Asks the control VMs in turn until one answers."""
+    """Sends requests to the control VMs in turn until one answers."""
 
     def __init__(self, addresses: list[str], token: str):
         self._addresses = addresses
@@ -43,7 +43,7 @@
 
     @classmethod
     def from_environment(cls) -> OperatorClient:
-        """Takes ARBUTUSRILL_CONTROL (addresses separated by commas) and ARBUTUSRILL_TOKEN."""
+        """Creates a client from ARBUTUSRILL_CONTROL (comma-separated addresses) and ARBUTUSRILL_TOKEN."""
         addresses = [part for part in os.environ.get("ARBUTUSRILL_CONTROL", "").split(",") if part]
         if not addresses:
             message = "set ARBUTUSRILL_CONTROL to the control VMs' addresses, such as 10.0.0.1:7400,10.0.0.2:7400"
@@ -58,10 +58,10 @@
         query: dict[str, Any] | None = None,
         request_id: str | None = None,
     ) -> dict[str, Any]:
-        """Sends one request and returns the JSON answer; raises `OperatorError`.
+        """Sends one request and returns the JSON response; raises `OperatorError`.
 
-        Control VMs without a quorum or leadership are passed over, and all are asked again for some seconds. A
-        change has one request id for all tries, so that it is made once.
+        Skips VMs that are unreachable, do not lead (421) or lack a quorum (503), and retries all for
+        `_RETRY_DURATION_S` seconds. All attempts of a change carry the same request ID, so that it is applied once.
         """
         if request_id is None and method != "GET":
             request_id = new_request_id("op")
@@ -70,34 +70,34 @@
             headers.append(f"X-Request-Id: {request_id}")
         suffix = f"?{urlencode(query)}" if query else ""
         data = b"" if body is None else json.dumps(body).encode()
-        deadline = time.monotonic() + _RETRY_S
+        deadline = time.monotonic() + _RETRY_DURATION_S
         while True:
-            problems = []
+            failures = []
             for address in self._addresses:
                 url = f"http://{address}/v1/operator{path}{suffix}"
-                result = fetch(Transfer(method, url, headers, data, timeout_s=_TIMEOUT_S, fresh=True))
+                result = fetch(Transfer(method, url, headers, data, timeout_s=_REQUEST_TIMEOUT_S, fresh=True))
                 if result.whole and result.status not in (421, 503):
-                    return _answer(result.status, result.body)
-                problems.append(f"{address}: {result.detail or _message(result.status, result.body)}")
+                    return _parse_response(result.status, result.body)
+                failures.append(f"{address}: {result.detail or _error_message(result.status, result.body)}")
             if time.monotonic() >= deadline:
                 break
-            time.sleep(_PAUSE_S)
-        again = f"; to be sure, repeat it with --request-id {request_id}" if request_id else ""
-        raise OperatorError(f"no control VM answers ({'; '.join(problems)}){again}", EXIT_NO_CONTROL)
+            time.sleep(_RETRY_PAUSE_S)
+        hint = f"; the change may have been made, repeat it with --request-id {request_id}" if request_id else ""
+        raise OperatorError(f"no control VM answered ({'; '.join(failures)}){hint}", EXIT_NO_CONTROL)
 
 
-def _message(status: int, body: bytes) -> str:
+def _error_message(status: int, body: bytes) -> str:
     try:
         return json.loads(body)["error"]["message"]
     except (ValueError, KeyError, TypeError):
         return f"status {status}"
 
 
-def _answer(status: int, body: bytes) -> dict[str, Any]:
+def _parse_response(status: int, body: bytes) -> dict[str, Any]:
     try:
         value = json.loads(body)
     except ValueError:
-        raise OperatorError(f"status {status} with a body that is not JSON", EXIT_REFUSED) from None
+        raise OperatorError(f"response with status {status} has a body that is not JSON", EXIT_REFUSED) from None
     if status >= 400:
         raise OperatorError(value.get("error", {}).get("message", f"status {status}"), EXIT_REFUSED)
     return value
--- a/libs/arbutusrill_cli/_tables.py
+++ b/libs/arbutusrill_cli/_tables.py
@@ -1,4 +1,4 @@
-"""Tables for people."""
+"""Tables for terminal output."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from rich.console import Console
 from rich.table import Table
 
-__all__ = ["show_table"]
+__all__ = ["print_table"]
 
 
-def show_table(rows: list[dict[str, Any]]) -> None:
-    """Prints rows with the same keys as a table; says so when there are none."""
+def print_table(rows: list[dict[str, Any]]) -> None:
+    """Prints rows that have the same keys as a table, or ``none`` if there are no rows."""
     if not rows:
         print("none")
         return
--- a/libs/arbutusrill_cli/tests/test_client.py
+++ b/libs/arbutusrill_cli/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Guards against a change that is made twice by retries, and against exit codes that say the wrong thing."""
+"""Guards against retries that apply a change twice and against wrong exit codes."""
 
 import json
 
@@ -9,7 +9,7 @@
 from arbutusrill_cli import OperatorClient, OperatorError, _client, _main
 
 
-class ControlVm:
+class FakeControlVm:
     def __init__(self, statuses):
         self.statuses = list(statuses)
         self.request_ids = []
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def ask(monkeypatch):
-    monkeypatch.setattr(_client, "_RETRY_S", 0.5)
+    monkeypatch.setattr(_client, "_RETRY_DURATION_S", 0.5)
 
     def asked(vms, method="PUT"):
         with HttpServer("127.0.0.1", 0, vms[0]) as first, HttpServer("127.0.0.1", 0, vms[1]) as second:
@@ -33,36 +33,36 @@
     return asked
 
 
-def test_all_tries_of_a_change_carry_one_request_id(ask):
-    vms = [ControlVm([503, 421]), ControlVm([503])]
+def test_all_attempts_of_a_change_have_the_same_request_id(ask):
+    vms = [FakeControlVm([503, 421]), FakeControlVm([503])]
     assert ask(vms) == {"revision": 7}
     ids = vms[0].request_ids + vms[1].request_ids
     assert len(ids) == 4 and len(set(ids)) == 1 and ids[0]
 
 
-def test_refusal_is_final_and_tells_why(ask):
-    vms = [ControlVm([409]), ControlVm([])]
+def test_refusal_is_not_retried_and_its_message_is_reported(ask):
+    vms = [FakeControlVm([409]), FakeControlVm([])]
     with pytest.raises(OperatorError, match="told 409") as caught:
         ask(vms)
     assert caught.value.exit_code == 3 and vms[1].request_ids == []
 
 
-def test_change_without_an_answer_names_the_request_id_to_repeat(ask):
-    vms = [ControlVm([503] * 99), ControlVm([421] * 99)]
+def test_unanswered_change_names_the_request_id_for_the_retry(ask):
+    vms = [FakeControlVm([503] * 99), FakeControlVm([421] * 99)]
     with pytest.raises(OperatorError) as caught:
         ask(vms)
     assert caught.value.exit_code == 4 and vms[0].request_ids[0] in str(caught.value)
 
 
 @pytest.mark.parametrize("in_force", [True, False])
-def test_wait_in_vain_has_its_own_exit_code_and_still_shows_the_key(monkeypatch, capsys, in_force):
-    class Client:
+def test_expired_wait_has_its_own_exit_code_and_still_prints_the_key(monkeypatch, capsys, in_force):
+    class FakeClient:
         def call(self, method, path, body=None, query=None, request_id=None):
             if path.startswith("/in-force"):
                 return {"in_force": in_force, "behind": [] if in_force else ["vm3"]}
             return {"revision": 7, "key": "ak-secret"}
 
-    monkeypatch.setattr(_main, "_client", Client)
+    monkeypatch.setattr(_main, "_make_client", FakeClient)
     monkeypatch.setattr("sys.argv", ["arbutusrill", "keys", "issue", "w", "--wait", "--json"])
     with pytest.raises(SystemExit) as caught:
         _main.main()
