--- a/libs/arbutusrill_control/_leases.py
+++ b/libs/arbutusrill_control/_leases.py
@@ -17,7 +17,7 @@
     incarnation: int
     expires_at: float
     revision: int
-    ended: bool = False  # no renewal until the VM's death is committed
+    ended: bool = False  # no renewal until the VM's state "dead" is committed
 
 
 class VmLeases:
@@ -68,7 +68,7 @@
             return True
 
     def drop_ended(self, vm: str, incarnation: int) -> None:
-        """Removes an ended lease once the VM's death is committed, so that the VM can register again."""
+        """Removes an ended lease once the VM's state "dead" is committed, so that the VM can register again."""
         with self._lock:
             lease = self._lease_by_vm.get(vm)
             if lease is not None and lease.incarnation == incarnation and lease.ended:
--- a/libs/arbutusrill_control/_service.py
+++ b/libs/arbutusrill_control/_service.py
@@ -21,8 +21,8 @@
 
 _COMMIT_TIMEOUT_S = 3.0
 _MAX_POLL_MS = 5000
-# Delay before a long poll is answered, so that one response carries all changes that arrive within it. Without it, 400
-# VMs that registered at once caused up to 400 x 400 responses.
+# Delay between a change and the response to a long poll, so that one response carries all changes of this time. Without
+# it, 400 VMs that registered at once caused up to 400 x 400 responses.
 _BATCH_DELAY_S = 0.02
 _log = PartLog("control")
 
@@ -59,7 +59,8 @@
     def follow(self, request: Any) -> Any:
         """Long poll of an entry VM: returns the changes after its revision and renews its lease.
 
-        The returned revision is confirmed by a quorum. A snapshot replaces the changes when they are no longer kept.
+        The reply is read after a quorum has confirmed the leadership. It holds a snapshot if the changes are no longer
+        kept.
         """
         received_at = self._clock.monotonic()
         self._require_leadership()
--- a/libs/arbutusrill_control/tests/support.py
+++ b/libs/arbutusrill_control/tests/support.py
@@ -77,7 +77,7 @@
         request = messages.FollowRequest(vm, incarnation, f"{vm}:1", f"{vm}:2", "dc", state, revision, 0)
         return self.service.follow(request)
 
-    def run(self, seconds, followers=()):
+    def run_for(self, seconds, followers=()):
         for _ in range(round(seconds / 0.2)):
             self.clock.advance(0.2)
             for vm in followers:
--- a/libs/arbutusrill_control/tests/test_service.py
+++ b/libs/arbutusrill_control/tests/test_service.py
@@ -33,7 +33,7 @@
     open_numbered_pools(control)
     before = owner_by_pool(control)
     assert set(before.values()) == set("abc")
-    control.run(3, "ab")
+    control.run_for(3, "ab")
     assert control.config.vms_by_id["c"].state == "dead"
     after = owner_by_pool(control)
     assert {name for name in before if before[name] != after[name]} == {name for name in before if before[name] == "c"}
@@ -41,7 +41,7 @@
 
 
 def test_vm_keeps_its_pools_until_lease_and_clock_drift_have_passed(control):
-    control.run(2)
+    control.run_for(2)
     control.follow("a")
     control.follow("b")
     open_numbered_pools(control)
@@ -54,13 +54,13 @@
 
 
 def test_new_leader_waits_one_lease_before_it_declares_a_vm_dead(control):
-    control.run(2)
+    control.run_for(2)
     control.follow("a")
-    control.run(0.4)
+    control.run_for(0.4)
     control.log.term = 2
-    control.run(1.3)
+    control.run_for(1.3)
     assert control.config.vms_by_id["a"].state == "live"
-    control.run(0.4)
+    control.run_for(0.4)
     assert control.config.vms_by_id["a"].state == "dead"
 
 
@@ -77,7 +77,7 @@
 
 def test_dead_vm_registers_again_and_gets_a_lease(control):
     control.follow("a")
-    control.run(3)
+    control.run_for(3)
     assert control.config.vms_by_id["a"].state == "dead"
     assert control.follow("a").lease_ms > 0
     assert control.config.vms_by_id["a"].state == "live"
@@ -100,7 +100,7 @@
 
 def test_dead_vm_is_removed_after_its_retention_time(control):
     control.follow("a")
-    control.run(3)
+    control.run_for(3)
     control.clock.advance(600)
     control.service.tick()
     assert "a" not in control.config.vms_by_id
@@ -174,9 +174,9 @@
     control.service.begin_call(command(messages.JournalBegin("w", "k", b"d", "a", 1), "a", 0, "b1"))
     control.service.finish_call(command(messages.JournalFinish("w", "k", 1, "done", begin_id="b1"), "a", 0))
     control.clock.step_wall(10**6)
-    control.run(40, "a")
+    control.run_for(40, "a")
     assert control.machine.state.journal.entries_by_key
-    control.run(40, "a")
+    control.run_for(40, "a")
     assert not control.machine.state.journal.entries_by_key
 
 
--- a/libs/arbutusrill_daemon/_roles.py
+++ b/libs/arbutusrill_daemon/_roles.py
@@ -65,14 +65,14 @@
     ):
         service = ControlService(log, machine, clock)
         with (
-            OperatorApp(service, client, clock, role.operator_token_sha256_by_name) as operators,
+            OperatorApp(service, client, clock, role.operator_token_sha256_by_name) as operator_app,
             TaskGroup("control", 4) as tasks,
             RpcServer(
                 *split_address(role.rpc),
                 {messages.Control: service, messages.Raft: log.handler},
                 limit=_MAX_CONTROL_CONNECTIONS,
             ),
-            HttpServer(*split_address(role.http), operators),
+            HttpServer(*split_address(role.http), operator_app),
         ):
             tasks.every(_CONTROL_TICK_INTERVAL_S, service.tick)
             yield
--- a/libs/arbutusrill_daemon/tests/test_drain.py
+++ b/libs/arbutusrill_daemon/tests/test_drain.py
@@ -30,13 +30,13 @@
         result = fetch(Transfer("POST", url, headers, body, timeout_s, on_data=pieces.append, fresh=True))
         return result.whole and b"".join(pieces).endswith(b"data: [DONE]\n\n")
 
-    def in_background(self, *arguments):
-        answers = []
-        thread = threading.Thread(target=lambda: answers.append(self.stream(*arguments)))
+    def stream_in_background(self, *arguments):
+        results = []
+        thread = threading.Thread(target=lambda: results.append(self.stream(*arguments)))
         thread.start()
-        return thread, answers
+        return thread, results
 
-    def busy(self, name):
+    def has_open_requests(self, name):
         lines = self.get(name, "/metrics").body.decode().splitlines()
         return sum(float(line.split()[-1]) for line in lines if line.startswith("arbutusrill_open_requests{")) > 0
 
@@ -60,20 +60,20 @@
 
 def test_graceful_shutdown_finishes_running_requests_and_serves_late_callers(caller):
     site = caller.site
-    thread, answers = caller.in_background("entry1", 600)
-    site.wait_until(lambda: caller.busy("entry1"), "the stream runs")
+    thread, results = caller.stream_in_background("entry1", 600)
+    site.wait_until(lambda: caller.has_open_requests("entry1"), "the stream runs")
     site.signal("entry1", signal.SIGTERM)
     site.wait_until(lambda: caller.get("entry1", "/readyz").status == 503, "readyz reports that the VM drains")
     assert caller.stream("entry1", 1), "a new caller is served while other VMs still list the address"
     address = site.members_by_name["entry1"].address
 
-    def listed():
+    def is_listed():
         rows = json.loads(caller.get("entry2", "/v1/entries").body)["entries"]
         return address in [row["address"] for row in rows]
 
-    site.wait_until(lambda: not listed(), "the VM is no longer listed")
+    site.wait_until(lambda: not is_listed(), "the VM is no longer listed")
     thread.join(60)
-    assert answers == [True]
+    assert results == [True]
     assert site.members_by_name["entry1"].process.wait(30) == 0
     assert all(pool["owner"] == "entry2" for pool in site.operators.call("GET", "/status")["pools"])
     assert caller.stream("entry2", 5)
@@ -83,8 +83,8 @@
 
 def test_second_signal_aborts_running_requests(caller):
     site = caller.site
-    thread, answers = caller.in_background("entry1", 20_000)
-    site.wait_until(lambda: caller.busy("entry1"), "the stream runs")
+    thread, results = caller.stream_in_background("entry1", 20_000)
+    site.wait_until(lambda: caller.has_open_requests("entry1"), "the stream runs")
     site.signal("entry1", signal.SIGTERM)
     site.wait_until(lambda: caller.get("entry1", "/readyz").status == 503, "readyz reports that the VM drains")
     started = time.monotonic()
@@ -92,13 +92,15 @@
     assert site.members_by_name["entry1"].process.wait(30) == 0
     assert time.monotonic() - started < 20
     thread.join(60)
-    assert answers == [False]
+    assert results == [False]
     assert "ended early by a second signal" in site.log("entry1")
 
 
 def test_burn_counts_are_shown_to_operators(caller):
-    def counted():
+    def reported_targets():
         rows = caller.site.operators.call("GET", "/burn")["burn"]
         return {row["target"] for row in rows if row["workspace"] == "dispatch" and row["route"] == "completions"}
 
-    caller.site.wait_until(lambda: {"availability", "first_token"} <= counted(), "burn counts are reported", 40)
+    caller.site.wait_until(
+        lambda: {"availability", "first_token"} <= reported_targets(), "burn counts are reported", 40
+    )
--- a/libs/arbutusrill_daemon/tests/test_main.py
+++ b/libs/arbutusrill_daemon/tests/test_main.py
@@ -33,9 +33,9 @@
 def test_invalid_settings_give_one_line_and_exit_code_2(tmp_path, text, expected):
     path = tmp_path / "settings.json"
     path.write_text(text)
-    done = run_daemon(path)
-    assert done.returncode == 2
-    assert done.stdout == ""
-    assert done.stderr.count("\n") == 1
-    assert str(path) in done.stderr
-    assert expected in done.stderr
+    result = run_daemon(path)
+    assert result.returncode == 2
+    assert result.stdout == ""
+    assert result.stderr.count("\n") == 1
+    assert str(path) in result.stderr
+    assert expected in result.stderr
--- a/libs/arbutusrill_daemon/tests/test_storage.py
+++ b/libs/arbutusrill_daemon/tests/test_storage.py
@@ -14,10 +14,10 @@
         data = bytearray(log.read_bytes())
         data[30] ^= 0xFF
         log.write_bytes(data)
-        done = subprocess.run(
+        result = subprocess.run(
             site.members_by_name["control1"].command, capture_output=True, text=True, timeout=60, check=False
         )
-        assert done.returncode == 3
-        last = done.stderr.strip().splitlines()[-1]
-        assert last.startswith("arbutusrilld: data folder: log-")
-        assert "damaged at byte" in last
+        assert result.returncode == 3
+        last_line = result.stderr.strip().splitlines()[-1]
+        assert last_line.startswith("arbutusrilld: data folder: log-")
+        assert "damaged at byte" in last_line
