--- a/libs/arbutusrill_base/__init__.py
+++ b/libs/arbutusrill_base/__init__.py
@@ -1,4 +1,4 @@
-"""Types and helpers that every part of arbutusrill shares."""
+"""Common types and helpers: clocks, identifiers, logs, settings, retry budgets and task groups."""
 
 from ._addresses import split_address
 from ._blocks import BLOCK_BYTES, prefix_blocks
--- a/libs/arbutusrill_base/_addresses.py
+++ b/libs/arbutusrill_base/_addresses.py
@@ -1,4 +1,4 @@
-"""Network addresses written as text."""
+"""Parsing of network addresses."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Returns host and port of an address that was checked before.
+    """Splits `host:port` into host and port; the address must be valid.
 
     >>> split_address("10.0.0.4:8080")
     ('10.0.0.4', 8080)
--- a/libs/arbutusrill_base/_blocks.py
+++ b/libs/arbutusrill_base/_blocks.py
@@ -1,4 +1,4 @@
-"""Hashes of the blocks of a prompt, by which routers and engines recognise a shared prefix."""
+"""Block hashes of prompts, with which routers and engines find shared prefixes in prompt caches."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def prefix_blocks(prompt: str, limit: int = 4096) -> list[str]:
-    """Returns one hash for each whole block of a prompt, at most `limit`.
+    """Returns the prefix hashes of the first `limit` blocks of a prompt; an incomplete last block is ignored.
 
-    Each hash covers all blocks before it, so two prompts share their first n hashes when, and only when,
-    they share their first n blocks.
+    The hash of a block also covers all blocks before it, so two prompts have the same first n hashes if and only if
+    their first n blocks are equal.
 
     >>> first, second = prefix_blocks("a" * 600), prefix_blocks("a" * 256 + "b" * 256)
     >>> first[0] == second[0], first[1] == second[1], len(first)
@@ -21,8 +21,8 @@
     """
     data = prompt.encode("utf-8", "replace")
     hashes = []
-    running = xxhash.xxh64()
+    hasher = xxhash.xxh64()
     for start in range(0, min(len(data) // BLOCK_BYTES, limit) * BLOCK_BYTES, BLOCK_BYTES):
-        running.update(data[start : start + BLOCK_BYTES])
-        hashes.append(running.hexdigest())
+        hasher.update(data[start : start + BLOCK_BYTES])
+        hashes.append(hasher.hexdigest())
     return hashes
--- a/libs/arbutusrill_base/_budget.py
+++ b/libs/arbutusrill_base/_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: retries may only be a fixed part of recent requests."""
+"""Retry budget, which limits retries to a fraction of recent requests, and retry backoff."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RetryBudget:
-    """Allows retries up to a fraction of the requests seen, with a small reserve for quiet times.
+    """Token bucket that limits retries to a fraction of the requests; it starts full, with `reserve` retries.
 
     >>> budget = RetryBudget(fraction=0.1, reserve=1)
     >>> budget.take(), budget.take()
@@ -27,23 +27,23 @@
         self._tokens = reserve
 
     def request(self) -> None:
-        """Counts a first attempt, which earns a fraction of a retry."""
+        """Counts a first attempt, which adds `fraction` of a retry to the budget."""
         with self._lock:
             self._tokens = min(self._reserve, self._tokens + self._fraction)
 
     def set_fraction(self, fraction: float) -> None:
-        """Changes how much of a retry each further request earns."""
+        """Sets the fraction of a retry that each later request adds."""
         with self._lock:
             self._fraction = fraction
 
     def set_reserve(self, reserve: float) -> None:
-        """Changes how many retries may be saved up; what is above it is lost."""
+        """Sets the capacity of the budget in retries and discards saved retries above it."""
         with self._lock:
             self._reserve = reserve
             self._tokens = min(self._tokens, reserve)
 
     def take(self) -> bool:
-        """Takes one retry from the budget; returns whether there was one."""
+        """Takes one retry from the budget; returns False if less than one is left."""
         with self._lock:
             if self._tokens < 1 - 1e-9:
                 return False
@@ -52,5 +52,8 @@
 
 
 def backoff_s(attempt: int, base: float = 0.05, limit: float = 2.0) -> float:
-    """Returns a random pause in seconds before retry number `attempt` (from 1), full jitter."""
+    """Returns the delay in seconds before retry `attempt` (from 1): exponential backoff with full jitter.
+
+    The delay is uniform between 0 and the smaller of `limit` and `base` times 2 to the power of `attempt` - 1.
+    """
     return random.uniform(0, min(limit, base * 2 ** (attempt - 1)))
--- a/libs/arbutusrill_base/_clock.py
+++ b/libs/arbutusrill_base/_clock.py
@@ -1,4 +1,4 @@
-"""Clocks, passed to whatever measures time so that tests can control it."""
+"""Clocks that are injected wherever time is read, so that tests can control it."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class Clock(abc.ABC):
-    """Source of time. Leases and timeouts use `monotonic`, records use `wall`."""
+    """Source of time: `monotonic` for leases and timeouts, `wall` for timestamps in records."""
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Returns seconds since an arbitrary start; never goes back."""
+        """Returns seconds since an arbitrary start; never decreases."""
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Returns seconds since 1970; can step in both directions."""
+        """Returns seconds since the Unix epoch; can step in both directions."""
 
     def wall_ms(self) -> int:
         """Returns the wall clock in whole milliseconds."""
@@ -26,7 +26,7 @@
 
 
 class SystemClock(Clock):
-    """The clocks of the operating system."""
+    """Clocks of the operating system."""
 
     def monotonic(self) -> float:
         """Returns `time.monotonic`."""
@@ -38,18 +38,18 @@
 
 
 class BootClock(SystemClock):
-    """The operating system's clock whose `monotonic` goes on while the VM is suspended.
+    """Clocks of the operating system, whose `monotonic` includes the time that the VM was suspended.
 
-    Leases need it: a leader that was suspended for longer than its lease must not believe that it still holds it.
+    Leases need it: a leader that was suspended for longer than its lease must see that the lease has expired.
     """
 
     def monotonic(self) -> float:
-        """Returns the seconds since the VM has booted."""
+        """Returns the seconds since the VM booted, suspended time included."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ManualClock(Clock):
-    """A clock for tests that moves only when told to.
+    """Clock for tests that moves only on `advance` and `step_wall`.
 
     >>> clock = ManualClock()
     >>> clock.advance(1.5)
@@ -68,17 +68,17 @@
             return self._monotonic
 
     def wall(self) -> float:
-        """Returns the wall clock, steps included."""
+        """Returns the start value plus all advances and steps."""
         with self._lock:
             return self._wall
 
     def advance(self, seconds: float) -> None:
-        """Moves both clocks forward."""
+        """Moves both clocks forward by `seconds`."""
         with self._lock:
             self._monotonic += seconds
             self._wall += seconds
 
     def step_wall(self, seconds: float) -> None:
-        """Moves only the wall clock, as a time service does when it corrects it."""
+        """Moves only the wall clock, like a correction by a time service; `seconds` may be negative."""
         with self._lock:
             self._wall += seconds
--- a/libs/arbutusrill_base/_events.py
+++ b/libs/arbutusrill_base/_events.py
@@ -1,7 +1,7 @@
-"""Structured log: one JSON object a line on standard output, bounded and never blocking.
+"""Structured log that never blocks: one JSON object per line on standard output.
 
-A line that finds the queue full or the rate spent is dropped and counted; the next line that is written says how many
-were dropped. A thread of its own writes, so that a reader that stops reading never holds up a request.
+Lines above the rate limit, or while the queue is full, are dropped and counted; the next line written reports the
+count. A separate thread writes the lines, so that a blocked standard output does not delay requests.
 """
 
 from __future__ import annotations
@@ -17,42 +17,42 @@
 
 __all__ = ["EventLog", "EventWriter", "write_events"]
 
-_QUEUE_LINES = 2000
-_RATE_LINES_S = 400.0
-_BURST_LINES = 1000.0
-_MAX_TEXT = 300  # characters of one value
-_sink: EventWriter | None = None
+_MAX_QUEUED_LINES = 2000
+_MAX_LINES_PER_S = 400.0
+_MAX_BURST_LINES = 1000.0
+_MAX_TEXT_CHARS = 300  # per field
+_writer: EventWriter | None = None
 
 
 class EventWriter:
-    """Writes event lines to a stream from a thread of its own.
+    """Writes events to a stream from a background thread.
 
-    At most `rate` lines a second are taken over time, and `burst` at once.
+    A token bucket limits the lines to `rate` per second, with bursts of up to `burst`.
     """
 
-    def __init__(self, stream: TextIO, vm: str, rate: float = _RATE_LINES_S, burst: float = _BURST_LINES):
+    def __init__(self, stream: TextIO, vm: str, rate: float = _MAX_LINES_PER_S, burst: float = _MAX_BURST_LINES):
         self._stream = stream
         self._vm = vm
         self._rate = rate
         self._burst = burst
-        self._allowed = burst
-        self._counted_at = time.monotonic()
+        self._tokens = burst
+        self._refilled_at = time.monotonic()
         self._lock = threading.Lock()
-        self._queue: queue.Queue[dict[str, Any] | None] = queue.Queue(_QUEUE_LINES)
+        self._queue: queue.Queue[dict[str, Any] | None] = queue.Queue(_MAX_QUEUED_LINES)
         self.dropped = 0
         self._thread = threading.Thread(target=self._run, name="events", daemon=True)
         self._thread.start()
 
     def put(self, event: dict[str, Any]) -> None:
-        """Queues one event or drops it; never waits."""
+        """Queues an event, or drops it when the rate limit is reached or the queue is full; never blocks."""
         with self._lock:
             now = time.monotonic()
-            self._allowed = min(self._burst, self._allowed + self._rate * (now - self._counted_at))
-            self._counted_at = now
-            if self._allowed < 1:
+            self._tokens = min(self._burst, self._tokens + self._rate * (now - self._refilled_at))
+            self._refilled_at = now
+            if self._tokens < 1:
                 self.dropped += 1
                 return
-            self._allowed -= 1
+            self._tokens -= 1
         event["time"] = round(time.time(), 4)
         try:
             self._queue.put_nowait(event)
@@ -60,7 +60,10 @@
             self.dropped += 1
 
     def close(self, timeout: float = 1.0) -> None:
-        """Writes what is queued, for at most `timeout` seconds."""
+        """Flushes the queue and stops the thread.
+
+        Waits at most `timeout` seconds for room in the queue, and again for the thread to end.
+        """
         try:
             self._queue.put(None, timeout=timeout)
         except queue.Full:
@@ -68,24 +71,24 @@
         self._thread.join(timeout)
 
     def _run(self) -> None:
-        reported = 0
+        reported_dropped = 0
         while (event := self._queue.get()) is not None:
             event["vm"] = self._vm
-            if self.dropped != reported:
-                event["lines_dropped"] = self.dropped - reported
-                reported = self.dropped
+            if self.dropped != reported_dropped:
+                event["lines_dropped"] = self.dropped - reported_dropped
+                reported_dropped = self.dropped
             try:
                 self._stream.write(json.dumps(event, default=str, ensure_ascii=True) + "\n")
                 if self._queue.empty():
                     self._stream.flush()
             except (OSError, ValueError):
-                self.dropped += 1  # standard output is closed: there is nowhere left to say so
+                self.dropped += 1  # the stream is closed, so the error cannot be reported
 
 
 class EventLog:
     """Emits the events of one part of the program.
 
-    Without a writer, as in tests and tools, events are discarded.
+    Events are discarded until `write_events` is called, so tests and tools print none.
 
     >>> EventLog("doc").emit("started", version=1)
     """
@@ -96,33 +99,39 @@
         self._part = part
 
     def emit(self, event: str, **fields: Any) -> None:
-        """Writes an event with its fields; texts are cut at 300 characters."""
-        if _sink is None:
+        """Queues an event with its fields.
+
+        Strings are cut at 300 characters, floats are rounded to 4 decimals and become null when they are not finite.
+        """
+        if _writer is None:
             return
         line: dict[str, Any] = {"part": self._part, "event": event}
         for name, value in fields.items():
             if isinstance(value, float):
                 value = round(value, 4) if math.isfinite(value) else None
-            line[name] = value[:_MAX_TEXT] if isinstance(value, str) else value
-        _sink.put(line)
+            line[name] = value[:_MAX_TEXT_CHARS] if isinstance(value, str) else value
+        _writer.put(line)
 
 
-class _Handler(logging.Handler):
-    """Turns the records of the standard logging module into events."""
+class _EventHandler(logging.Handler):
+    """Forwards records of the standard logging module as events."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        if _sink is not None:
+        if _writer is not None:
             fields = {"part": "log", "event": record.levelname.lower(), "message": record.getMessage()}
             if record.exc_info and record.exc_info[1] is not None:
                 fields["error"] = logging.Formatter().formatException(record.exc_info)[-2000:]
-            _sink.put(fields)
+            _writer.put(fields)
 
 
 def write_events(vm: str, stream: TextIO | None = None) -> EventWriter:
-    """Sends all events, and all records of the standard logging module, to `stream` (standard output)."""
-    global _sink
-    _sink = EventWriter(stream or sys.stdout, vm)
+    """Sends events and the records of the standard logging module to `stream` (default: standard output).
+
+    Replaces all handlers of the root logger and sets its level to INFO.
+    """
+    global _writer
+    _writer = EventWriter(stream or sys.stdout, vm)
     root = logging.getLogger()
-    root.handlers[:] = [_Handler()]
+    root.handlers[:] = [_EventHandler()]
     root.setLevel(logging.INFO)
-    return _sink
+    return _writer
--- a/libs/arbutusrill_base/_logs.py
+++ b/libs/arbutusrill_base/_logs.py
@@ -1,4 +1,4 @@
-"""Log lines of absl with a fixed prefix for each part of the program."""
+"""Logging through absl, with a prefix for each part of the program."""
 
 from __future__ import annotations
 
@@ -13,17 +13,19 @@
 
 @functools.cache
 def _absl() -> ModuleType:
-    """Returns absl's logging; its import takes 40 ms, which a process that only logs faults need not spend at start."""
+    """Imports and returns absl's logging on first use; the import takes 40 ms, which would delay the process start."""
     from absl import logging
 
     for method in ("info", "warning", "error", "exception"):
-        # Log lines then name the caller's file and line instead of this module's.
+        # Makes log lines name the caller's file and line instead of this module's.
         logging.ABSLLogger.register_frame_to_skip(__file__, method)
     return logging
 
 
 class PartLog:
-    """Writes log lines that start with the name of one part; normal events only after `configure_logs`.
+    """Logger that prefixes messages with the name of one part of the program.
+
+    `info` is discarded until `configure_logs` is called.
 
     >>> log = PartLog("raft")
     >>> log.prefix
@@ -36,13 +38,13 @@
         self.prefix = f"{part}: "
 
     def info(self, message: str, *args: object) -> None:
-        """Logs a normal event."""
+        """Logs a normal event, if logging is configured."""
         if not _configured:
             return
         _absl().info(self.prefix + message, *args)
 
     def warning(self, message: str, *args: object) -> None:
-        """Logs an event that an operator may want to look at."""
+        """Logs an event that may need an operator's attention."""
         _absl().warning(self.prefix + message, *args)
 
     def error(self, message: str, *args: object) -> None:
@@ -50,12 +52,12 @@
         _absl().error(self.prefix + message, *args)
 
     def exception(self, message: str, *args: object) -> None:
-        """Logs a fault together with the current exception's traceback."""
+        """Logs a fault with the traceback of the current exception."""
         _absl().exception(self.prefix + message, *args)
 
 
 def configure_logs(level: str) -> None:
-    """Sends log lines of `level` (``debug``, ``info``, ``warning`` or ``error``) and above to stderr."""
+    """Logs to standard error from `level` (``debug``, ``info``, ``warning`` or ``error``) upwards."""
     global _configured
     _configured = True
     _absl().use_absl_handler()
--- a/libs/arbutusrill_base/_settings.py
+++ b/libs/arbutusrill_base/_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: JSON, checked by msgspec, with one clear line for each kind of mistake."""
+"""Loading of JSON settings files, validated by msgspec; each error is a single line."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 __all__ = ["Section", "SettingsError", "load_settings", "parse_settings", "read_settings"]
 
 
-_PLACE = re.compile(r"^(?P<problem>.*?)(?: - at `\$\.?(?P<path>[^`]*)`)?$", re.DOTALL)
-_UNKNOWN = re.compile(r"^Object contains unknown field `(.*)`$", re.DOTALL)
-_MISSING = re.compile(r"^Object missing required field `(.*)`$")
+_VALIDATION_ERROR = re.compile(r"^(?P<problem>.*?)(?: - at `\$\.?(?P<path>[^`]*)`)?$", re.DOTALL)
+_UNKNOWN_FIELD = re.compile(r"^Object contains unknown field `(.*)`$", re.DOTALL)
+_MISSING_FIELD = re.compile(r"^Object missing required field `(.*)`$")
 
 
 class Section(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of every section of a settings file: unknown keys and loose types are refused.
+    """Base class of the sections of a settings file, which rejects unknown keys and does no type coercion.
 
-    A subclass checks what its types cannot say in ``__post_init__`` and raises `ValueError` with a line that begins
-    with the key.
+    Subclasses check constraints that types cannot express in ``__post_init__`` and raise `ValueError` with a one-line
+    message that starts with the key.
     """
 
 
@@ -32,13 +32,13 @@
 
 
 class SettingsError(ValueError):
-    """Settings that cannot be used: one line that names the file, the key and what was expected."""
+    """Invalid settings; the message is one line with the file, the key and what was expected."""
 
 
 def read_settings(path: str | Path, model: type[SectionT]) -> SectionT:
     """Reads a settings file as `model`; raises `SettingsError`.
 
-    A process whose start is urgent calls this: `load_settings` imports ``expression``, which takes 60 ms.
+    Use it where the start-up time matters: `load_settings` imports ``expression``, which takes 60 ms.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -46,13 +46,13 @@
         raise SettingsError(f"{path}: cannot be read: {error.strerror}") from None
     except UnicodeDecodeError as error:
         raise SettingsError(f"{path}: expected UTF-8 text, byte {error.start} is not") from None
-    return _check(text, model, str(path))
+    return _parse(text, model, str(path))
 
 
 def load_settings(path: str | Path, model: type[SectionT]) -> Result[SectionT, str]:
-    """Reads a settings file as `model`.
+    """Reads a settings file as `model` and returns it, or an error as text.
 
-    The error is one line that names the file, the key and what was expected.
+    The error is one line with the file, the key and what was expected.
     """
     from expression import Error, Ok
 
@@ -63,7 +63,7 @@
 
 
 def parse_settings(text: str, model: type[SectionT], name: str) -> Result[SectionT, str]:
-    """Checks settings given as text; `name` stands for the file in messages.
+    """Parses settings from `text`; error messages start with `name` in place of a file name.
 
     >>> class Example(Section):
     ...     port: int
@@ -75,14 +75,14 @@
     from expression import Error, Ok
 
     try:
-        return Ok(_check(text, model, name))
+        return Ok(_parse(text, model, name))
     except SettingsError as error:
         return Error(str(error))
 
 
-def _check(text: str, model: type[SectionT], name: str) -> SectionT:
+def _parse(text: str, model: type[SectionT], name: str) -> SectionT:
     try:
-        value = json.loads(text, object_pairs_hook=_refuse_repeated_keys)
+        value = json.loads(text, object_pairs_hook=_reject_duplicate_keys)
     except json.JSONDecodeError as error:
         raise SettingsError(f"{name}: line {error.lineno}, column {error.colno}: expected JSON: {error.msg}") from None
     except (ValueError, RecursionError) as error:
@@ -90,10 +90,10 @@
     try:
         return msgspec.convert(value, model)
     except msgspec.ValidationError as error:
-        raise SettingsError(f"{name}: {_first_error(error)}") from None
+        raise SettingsError(f"{name}: {_describe_error(error)}") from None
 
 
-def _refuse_repeated_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     result = {}
     for key, value in pairs:
         if key in result:
@@ -102,19 +102,19 @@
     return result
 
 
-def _first_error(error: msgspec.ValidationError) -> str:
-    """Returns the key and what was expected of it."""
-    found = _PLACE.match(str(error))
-    problem, path = found["problem"], found["path"] or ""
-    unknown, missing = _UNKNOWN.match(problem), _MISSING.match(problem)
+def _describe_error(error: msgspec.ValidationError) -> str:
+    """Converts an error of msgspec to one line with the key and what was expected."""
+    match = _VALIDATION_ERROR.match(str(error))
+    problem, path = match["problem"], match["path"] or ""
+    unknown, missing = _UNKNOWN_FIELD.match(problem), _MISSING_FIELD.match(problem)
     if unknown:
-        return f"{_joined(path, unknown[1])}: unknown key, expected one of the documented settings"
+        return f"{_join_path(path, unknown[1])}: unknown key, expected one of the documented settings"
     if missing:
-        return f"{_joined(path, missing[1])}: missing, expected a value"
+        return f"{_join_path(path, missing[1])}: missing, expected a value"
     if isinstance(error.__cause__, ValueError):
-        return _joined(path, problem)
+        return _join_path(path, problem)
     return f"{path or '(top level)'}: {problem[0].lower()}{problem[1:]}".replace("\n", " ")
 
 
-def _joined(path: str, key: str) -> str:
+def _join_path(path: str, key: str) -> str:
     return f"{path}.{key}" if path else key
--- a/libs/arbutusrill_base/_tasks.py
+++ b/libs/arbutusrill_base/_tasks.py
@@ -1,4 +1,4 @@
-"""Groups of long-running tasks on one bounded executor."""
+"""Groups of long-running tasks on a thread pool without a queue."""
 
 from __future__ import annotations
 
@@ -13,10 +13,9 @@
 
 
 class TaskGroup:
-    """Runs tasks on a `ThreadPoolExecutor` and refuses more than its bound instead of queueing them.
+    """Runs at most `limit` tasks at a time, each in a thread, and rejects further ones instead of queueing them.
 
-    Used as a context manager: leaving it sets `stopping` and waits for the tasks, which are expected to
-    watch that event.
+    As a context manager it sets `stopping` on exit and waits for the tasks, which must return once that event is set.
 
     >>> with TaskGroup("doc", 2) as group:
     ...     future = group.start(lambda: 40 + 2)
@@ -28,7 +27,7 @@
         self.stopping = threading.Event()
         self._log = PartLog(name)
         self._executor = ThreadPoolExecutor(limit, thread_name_prefix=name)
-        self._places = threading.BoundedSemaphore(limit)
+        self._free_threads = threading.BoundedSemaphore(limit)
 
     def __enter__(self) -> TaskGroup:
         return self
@@ -37,17 +36,20 @@
         self.close()
 
     def start(self, function: Callable[..., Any], *args: Any) -> Future | None:
-        """Starts `function` in a thread of its own; returns None when all threads are taken."""
-        if self.stopping.is_set() or not self._places.acquire(blocking=False):
+        """Runs `function` in a thread; returns None if all threads are in use or the group is stopping."""
+        if self.stopping.is_set() or not self._free_threads.acquire(blocking=False):
             return None
         try:
             return self._executor.submit(self._run, function, args)
         except RuntimeError:
-            self._places.release()
+            self._free_threads.release()
             return None
 
     def every(self, period: float, function: Callable[[], Any]) -> None:
-        """Calls `function` every `period` seconds until the group stops; failures are logged."""
+        """Calls `function` every `period` seconds until the group stops; its exceptions are logged.
+
+        The calls occupy one thread of the group. Raises `RuntimeError` if none is free.
+        """
 
         def loop() -> None:
             while not self.stopping.wait(period):
@@ -66,9 +68,9 @@
             self._log.exception("task %s failed", getattr(function, "__name__", function))
             raise
         finally:
-            self._places.release()
+            self._free_threads.release()
 
     def close(self, wait: bool = True) -> None:
-        """Asks the tasks to stop and, by default, waits for them."""
+        """Sets `stopping`, cancels tasks that have not started and, by default, waits for the others."""
         self.stopping.set()
         self._executor.shutdown(wait=wait, cancel_futures=True)
--- a/libs/arbutusrill_base/_verdict.py
+++ b/libs/arbutusrill_base/_verdict.py
@@ -1,4 +1,4 @@
-"""Verdict of a failed call and the failure that carries it."""
+"""Failure of a request, and its verdict: whether the back end may have run the request."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Verdict(enum.Enum):
-    """Says whether the back end may have run a request that failed.
+    """Whether the back end may have run a request that failed.
 
-    `NOT_RUN` is a promise: the request can be sent again without risk. `RAN` means that the back end
-    is known to have completed the request although its answer is not available.
+    `NOT_RUN` guarantees that it has not, so the request can be sent again safely. `RAN` means that the back end
+    has completed the request although its response is not available.
     """
 
     NOT_RUN = "not_run"
@@ -20,7 +20,7 @@
     RAN = "ran"
 
     def worst(self, other: Verdict) -> Verdict:
-        """Returns the verdict for a request that met both outcomes on its way.
+        """Combines the verdicts of two attempts of one request: `RAN` over `MAY_HAVE_RUN` over `NOT_RUN`.
 
         >>> Verdict.NOT_RUN.worst(Verdict.MAY_HAVE_RUN)
         <Verdict.MAY_HAVE_RUN: 'may_have_run'>
@@ -31,10 +31,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Failure:
-    """Why a request failed, in the form that callers see.
+    """Failure of a request as it is reported to the caller.
 
-    `code` is a fixed word such as ``rate_limited``; `status` is the HTTP status; `retry_after` is in
-    seconds, None when a retry does not help; `param` names the offending field of the request.
+    `code` is a fixed identifier such as ``rate_limited``; `status` is the HTTP status; `retry_after` is in
+    seconds, None when a retry does not help; `param` names the invalid field of the request.
     """
 
     code: str
@@ -46,7 +46,7 @@
 
 
 class FailureError(Exception):
-    """Carries a `Failure` through code that can only raise, such as library callbacks."""
+    """Carries a `Failure` out of code that cannot return one, such as library callbacks."""
 
     def __init__(self, failure: Failure):
         super().__init__(f"{failure.code}: {failure.message}")
--- a/libs/arbutusrill_base/tests/test_budget.py
+++ b/libs/arbutusrill_base/tests/test_budget.py
@@ -1,15 +1,15 @@
-"""Guards against retries that multiply with the number of VMs."""
+"""Tests that the retry budget follows changes of its reserve, so that retries do not grow with the number of VMs."""
 
 from arbutusrill_base import RetryBudget
 
 
-def test_reserve_that_shrinks_takes_saved_retries_back():
+def test_smaller_reserve_discards_saved_retries():
     budget = RetryBudget(fraction=0.1, reserve=8)
     budget.set_reserve(1)
     assert [budget.take(), budget.take()] == [True, False]
 
 
-def test_reserve_that_grows_is_earned_by_requests():
+def test_larger_reserve_is_filled_only_by_requests():
     budget = RetryBudget(fraction=0.5, reserve=1)
     budget.take()
     budget.set_reserve(8)
--- a/libs/arbutusrill_base/tests/test_layers.py
+++ b/libs/arbutusrill_base/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Guards against imports that break the layering of the libraries."""
+"""Tests that the libraries import only the libraries that pyproject.toml allows, and no private modules."""
 
 import ast
 import tomllib
--- a/libs/arbutusrill_base/tests/test_settings.py
+++ b/libs/arbutusrill_base/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Guards against settings mistakes that start a daemon or print a traceback."""
+"""Tests that invalid settings are rejected with a one-line error, instead of accepted or shown as a traceback."""
 
 import pytest
 
@@ -24,7 +24,7 @@
         ('{"name": "a", "name": "b", "inner": {"port": 1}}', "appears twice"),
     ],
 )
-def test_mistake_gives_one_line_with_file_key_and_expectation(text, expected):
+def test_error_is_one_line_with_file_key_and_expected_value(text, expected):
     result = parse_settings(text, Example, "s.json")
     assert result.is_error()
     assert expected in result.error
