--- a/libs/arbutusrill_http/__init__.py
+++ b/libs/arbutusrill_http/__init__.py
@@ -1,6 +1,6 @@
-"""HTTP server with bounds and HTTP client that watches the caller.
+"""HTTP server with resource limits, and an HTTP client that detects when the caller disconnects.
 
-The client is imported on first use: a process that only serves starts without libcurl.
+The client is imported on first use, so that a process that only serves starts without loading libcurl.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
     "json_response",
 ]
 
-_CLIENT = ("Transfer", "TransferResult", "close_connections", "fetch")
+_LAZY_NAMES = ("Transfer", "TransferResult", "close_connections", "fetch")
 
 
 def __getattr__(name: str) -> Any:
-    if name not in _CLIENT:
+    if name not in _LAZY_NAMES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     from . import _transfer
 
--- a/libs/arbutusrill_http/_handler.py
+++ b/libs/arbutusrill_http/_handler.py
@@ -1,4 +1,4 @@
-"""Reading of HTTP requests from one connection, within bounds of size and time."""
+"""Handler of one HTTP connection, which reads requests within limits of size and time."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 
 from ._writer import ResponseWriter
 
-__all__ = ["AbortStreamError", "Handler", "refusal"]
+__all__ = ["AbortStreamError", "Handler", "error_response"]
 
-_RESERVED_HEADER_S = 2.0
-_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+_RESERVED_HEADER_TIMEOUT_S = 2.0
+_HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 _log = PartLog("http")
 
 
 class AbortStreamError(Exception):
-    """Raised by an application to cut a response so that the caller sees that it is incomplete."""
+    """Raised by an application to abort a response, so that the caller sees that it is incomplete."""
 
 
-class _BadRequestError(Exception):
+class _RequestError(Exception):
+    """Rejects a request with an HTTP status, before the application has run."""
+
     def __init__(self, status: int, code: str, message: str, param: str | None = None):
         super().__init__(message)
         self.status = status
@@ -34,22 +36,22 @@
         self.param = param
 
 
-def refusal(status: int, code: str, message: str, param: str | None = None) -> bytes:
-    """Returns a whole response that refuses a request which has not run."""
+def error_response(status: int, code: str, message: str, param: str | None = None) -> bytes:
+    """Returns an encoded error response; its verdict is ``may_have_run`` for status 500, else ``not_run``."""
     kind = "invalid_request_error" if status < 500 else "server_error"
     verdict = "may_have_run" if status == 500 else "not_run"
     error = {"message": message, "type": kind, "param": param, "code": code, "verdict": verdict}
     body = json.dumps({"error": error}).encode()
-    retry = "Retry-After: 1\r\n" if status == 503 else ""
+    retry_header = "Retry-After: 1\r\n" if status == 503 else ""
     head = (
         f"HTTP/1.1 {status} {HTTPStatus(status).phrase}\r\nContent-Type: application/json\r\n"
-        f"X-Verdict: {verdict}\r\n{retry}Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
+        f"X-Verdict: {verdict}\r\n{retry_header}Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     )
     return head.encode() + body
 
 
-class _TimedSocketReader(io.RawIOBase):
-    """Raw reader of a socket that keeps to one deadline over many reads."""
+class _DeadlineSocketReader(io.RawIOBase):
+    """Raw socket reader whose reads share one deadline."""
 
     def __init__(self, connection: socket.socket):
         self._connection = connection
@@ -67,20 +69,20 @@
 
 
 class Handler(WSGIRequestHandler):
-    """Serves the requests of one connection, one after the other."""
+    """Serves the requests of one connection in sequence."""
 
     protocol_version = "HTTP/1.1"
     server: Any
 
     def setup(self) -> None:
-        """Prepares the connection."""
+        """Replaces the reader by one with a deadline."""
         super().setup()
-        self._raw = _TimedSocketReader(self.connection)
-        self.rfile = io.BufferedReader(self._raw, 65_536)
-        self._reserved = self.server.is_reserved(self.connection)
+        self._socket_reader = _DeadlineSocketReader(self.connection)
+        self.rfile = io.BufferedReader(self._socket_reader, 65_536)
+        self._is_reserved = self.server.is_reserved(self.connection)
 
     def handle(self) -> None:
-        """Serves requests until either side ends the connection."""
+        """Serves requests until either side closes the connection or the server drains."""
         try:
             self.close_connection = True
             self.handle_one_request()
@@ -90,54 +92,54 @@
             pass
 
     def handle_one_request(self) -> None:
-        """Reads and serves one request."""
+        """Reads and serves one request; rejects it if it is malformed, too large or too slow."""
         limits = self.server.limits
-        header_s = min(limits.header_s, _RESERVED_HEADER_S) if self._reserved else limits.header_s
-        self._raw.deadline = time.monotonic() + (header_s if self._reserved else limits.idle_s)
+        header_s = min(limits.header_s, _RESERVED_HEADER_TIMEOUT_S) if self._is_reserved else limits.header_s
+        self._socket_reader.deadline = time.monotonic() + (header_s if self._is_reserved else limits.idle_s)
         if not self._wait_for_request():
             self.close_connection = True
             return
-        self._raw.deadline = time.monotonic() + header_s
+        self._socket_reader.deadline = time.monotonic() + header_s
         self.command, self.request_version = "", "HTTP/1.1"
         try:
             self.raw_requestline = self.rfile.readline(limits.header_bytes + 1)
             if not self.raw_requestline.endswith(b"\n"):
-                raise _BadRequestError(414, "request_line_too_long", "the request line is too long", "path")
+                raise _RequestError(414, "request_line_too_long", "the request line is too long", "path")
             if not self.parse_request():
                 return
             self._check_headers()
-            if self._reserved and not self.path.startswith(limits.reserved_paths):
-                raise _BadRequestError(503, "too_many_connections", "too many connections")
+            if self._is_reserved and not self.path.startswith(limits.reserved_paths):
+                raise _RequestError(503, "too_many_connections", "too many connections")
             body = self._read_body()
-        except _BadRequestError as problem:
-            self._refuse(problem)
+        except _RequestError as error:
+            self._reject(error)
             return
         except TimeoutError:
-            self._refuse(_BadRequestError(408, "request_timeout", "the request did not arrive in time"))
+            self._reject(_RequestError(408, "request_timeout", "the request did not arrive in time"))
             return
         self.connection.settimeout(None)
-        self._serve(body)
+        self._run_application(body)
 
     def _wait_for_request(self) -> bool:
-        """Waits for the first byte of a request; a draining server ends this wait."""
+        """Waits for the first byte of a request; returns False on end of input or when the server drains."""
         with self.server.idle_connection(self.connection):
             return not self.server.draining() and bool(self.rfile.peek(1))
 
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
-        """Answers a request that http.server refuses, as JSON and without a stack of HTML."""
+        """Rejects a request that `http.server` cannot parse, with a JSON body instead of HTML."""
         phrase = message or HTTPStatus(code).phrase
-        self._refuse(_BadRequestError(int(code), "bad_request", phrase))
+        self._reject(_RequestError(int(code), "bad_request", phrase))
 
     def _check_headers(self) -> None:
         limits = self.server.limits
         if sum(len(name) + len(value) + 4 for name, value in self.headers.items()) > limits.header_bytes:
-            raise _BadRequestError(431, "headers_too_large", f"headers exceed {limits.header_bytes} bytes", "headers")
+            raise _RequestError(431, "headers_too_large", f"headers exceed {limits.header_bytes} bytes", "headers")
         for name, value in self.headers.items():
-            # A folded or malformed header means different things to different readers.
-            if not _NAME.fullmatch(name) or any(mark in value for mark in "\r\n\0"):
-                raise _BadRequestError(400, "bad_header", "a header is malformed", "headers")
+            # Parsers interpret folded and malformed headers differently, which permits request smuggling.
+            if not _HEADER_NAME.fullmatch(name) or any(char in value for char in "\r\n\0"):
+                raise _RequestError(400, "bad_header", "a header is malformed", "headers")
         if self.headers.defects:
-            raise _BadRequestError(400, "bad_header", "the headers are malformed", "headers")
+            raise _RequestError(400, "bad_header", "the headers are malformed", "headers")
 
     def _read_body(self) -> bytes:
         limits = self.server.limits
@@ -145,29 +147,29 @@
         encodings = self.headers.get_all("Transfer-Encoding", [])
         if len(lengths) > 1 or (lengths and encodings):
             message = "Content-Length is given more than once or together with Transfer-Encoding"
-            raise _BadRequestError(400, "conflicting_length", message, "Content-Length")
-        self._raw.deadline = time.monotonic() + limits.body_s
+            raise _RequestError(400, "conflicting_length", message, "Content-Length")
+        self._socket_reader.deadline = time.monotonic() + limits.body_s
         if encodings:
             if [value.strip().lower() for value in encodings] != ["chunked"] or self.request_version < "HTTP/1.1":
                 message = "only the transfer encoding chunked is supported"
-                raise _BadRequestError(501, "unknown_encoding", message, "Transfer-Encoding")
-            self._continue()
+                raise _RequestError(501, "unknown_encoding", message, "Transfer-Encoding")
+            self._send_continue()
             return self._read_chunked(limits.body_bytes)
         if not lengths:
             return b""
         if not (lengths[0].isascii() and lengths[0].isdigit()) or len(lengths[0]) > 18:
             message = "Content-Length must be a number of at least 0"
-            raise _BadRequestError(400, "bad_length", message, "Content-Length")
-        size = int(lengths[0])
-        if size > limits.body_bytes:
-            raise _BadRequestError(413, "body_too_large", f"the body exceeds {limits.body_bytes} bytes", "body")
-        self._continue()
-        body = self.rfile.read(size)
-        if len(body) < size:
-            raise ConnectionResetError("the caller left before the end of its body")
+            raise _RequestError(400, "bad_length", message, "Content-Length")
+        length = int(lengths[0])
+        if length > limits.body_bytes:
+            raise _RequestError(413, "body_too_large", f"the body exceeds {limits.body_bytes} bytes", "body")
+        self._send_continue()
+        body = self.rfile.read(length)
+        if len(body) < length:
+            raise ConnectionResetError("the caller closed the connection before the end of the request body")
         return body
 
-    def _continue(self) -> None:
+    def _send_continue(self) -> None:
         if "100-continue" in self.headers.get("Expect", "").lower():
             self.connection.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -175,25 +177,25 @@
         body = bytearray()
         reader = DechunkedInput(self.rfile)
         try:
-            while piece := reader.read(65_536):
-                body += piece
+            while chunk := reader.read(65_536):
+                body += chunk
                 if len(body) > limit:
-                    raise _BadRequestError(413, "body_too_large", f"the body exceeds {limit} bytes", "body")
+                    raise _RequestError(413, "body_too_large", f"the body exceeds {limit} bytes", "body")
         except TimeoutError:
             raise
         except (OSError, ValueError) as error:
-            raise _BadRequestError(400, "bad_chunk", f"the chunked body is malformed: {error}", "body") from None
+            raise _RequestError(400, "bad_chunk", f"the chunked body is malformed: {error}", "body") from None
         return bytes(body)
 
-    def _refuse(self, problem: _BadRequestError) -> None:
+    def _reject(self, error: _RequestError) -> None:
         self.close_connection = True
         self.connection.settimeout(self.server.limits.write_s)
-        self.connection.sendall(refusal(problem.status, problem.code, str(problem), problem.param))
-        self._raw.deadline = time.monotonic() + 1.0
-        self._drain()
+        self.connection.sendall(error_response(error.status, error.code, str(error), error.param))
+        self._socket_reader.deadline = time.monotonic() + 1.0
+        self._discard_input()
 
-    def _drain(self) -> None:
-        """Reads what the caller still sends, so that closing does not reset the answer away."""
+    def _discard_input(self) -> None:
+        """Discards unread input: with it, a close would reset the connection and the caller could lose the response."""
         try:
             self.connection.shutdown(socket.SHUT_WR)
             for _ in range(256):
@@ -202,7 +204,7 @@
         except OSError:
             pass
 
-    def _serve(self, body: bytes) -> None:
+    def _run_application(self, body: bytes) -> None:
         self.environ = self.make_environ()
         self.environ["wsgi.input"] = io.BytesIO(body)
         self.environ["CONTENT_LENGTH"] = str(len(body))
@@ -210,25 +212,25 @@
         self.environ["arbutusrill.headers"] = self.headers.items()
         self.environ["arbutusrill.target"] = self.path
         self.environ.pop("HTTP_TRANSFER_ENCODING", None)
-        if self._reserved:
+        if self._is_reserved:
             self.close_connection = True
         response = ResponseWriter(self)
         try:
-            pieces = self.server.app(self.environ, response.start)
+            chunks = self.server.app(self.environ, response.start)
             try:
-                for piece in pieces:
-                    response.write(piece)
+                for chunk in chunks:
+                    response.write(chunk)
             finally:
-                if hasattr(pieces, "close"):
-                    pieces.close()
+                if hasattr(chunks, "close"):
+                    chunks.close()
             response.finish()
         except (AbortStreamError, ConnectionError, TimeoutError):
             self.close_connection = True
         except Exception:
-            _log.exception("application failed")
+            _log.exception("the application raised an exception")
             self.close_connection = True
             if not response.head_sent:
-                self._refuse(_BadRequestError(500, "internal_error", "internal error"))
+                self._reject(_RequestError(500, "internal_error", "internal error"))
 
     def log_request(self, code: int | str = "-", size: int | str = "-") -> None:
-        """Requests are logged by the application, with their request id."""
+        """Logs nothing: the application logs requests with their request ID."""
--- a/libs/arbutusrill_http/_json.py
+++ b/libs/arbutusrill_http/_json.py
@@ -1,4 +1,4 @@
-"""JSON answers and the error object of the OpenAI-compatible interface."""
+"""JSON responses and the error object of the OpenAI-compatible API."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 def json_response(value: Any, status: int = 200, headers: dict[str, str] | None = None) -> Response:
     """Returns `value` as a JSON response."""
     text = json.dumps(value, ensure_ascii=False)
-    # Lone surrogates, which JSON escapes can hold, have no UTF-8 form.
+    # JSON escapes can contain lone surrogates, which cannot be encoded in UTF-8.
     return Response(text.encode("utf-8", "replace"), status, headers, content_type="application/json")
 
 
 def error_body(failure: Failure) -> dict[str, Any]:
-    """Returns the error object for a failure, with its verdict.
+    """Returns the body of an error response for a failure, including its verdict.
 
     >>> error_body(Failure("stale", "not fresh"))["error"]["verdict"]
     'not_run'
@@ -38,7 +38,7 @@
 
 
 def failure_response(failure: Failure) -> Response:
-    """Returns a failure as a response, with Retry-After in whole seconds where a retry helps."""
+    """Returns the error response for a failure, with Retry-After in whole seconds if a retry helps."""
     headers = {"X-Verdict": failure.verdict.value}
     if failure.retry_after is not None:
         headers["Retry-After"] = str(max(1, math.ceil(failure.retry_after)))
--- a/libs/arbutusrill_http/_server.py
+++ b/libs/arbutusrill_http/_server.py
@@ -1,4 +1,4 @@
-"""HTTP server on werkzeug: bounded connections, time limits on every read, keep-alive and aborted streams."""
+"""HTTP server based on werkzeug, with a connection limit, timeouts on reads and sends, keep-alive and draining."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from arbutusrill_base import PartLog, TaskGroup
 from werkzeug.serving import BaseWSGIServer
 
-from ._handler import Handler, refusal
-from ._sockets import limit_sends, limit_silence
+from ._handler import Handler, error_response
+from ._sockets import set_dead_peer_timeouts, set_send_timeout
 
 __all__ = ["HttpLimits", "HttpServer"]
 
-_ACCEPT_S = 0.1
-_UNACKNOWLEDGED_S = 10.0
-_REFUSED_KEPT = 256  # refused connections that wait for their caller to read the answer
-_REFUSED_S = 1.0
-_CROWDED = 0.9  # part of the connections from which idle ones give way to new ones
-_IDLE_KEPT_S = 0.2  # an idle connection younger than this is about to be used
+_SHUTDOWN_POLL_S = 0.1
+_TCP_USER_TIMEOUT_S = 10.0
+_MAX_LINGERING = 256  # rejected connections kept open until their caller has read the response
+_LINGER_S = 1.0
+_IDLE_EVICTION_FRACTION = 0.9  # of the connection limit, from which a new connection evicts an idle one
+_MIN_IDLE_S = 0.2  # not evicted before: the next request is probably under way
 _log = PartLog("http")
 
 
 @dataclass(slots=True, frozen=True)
 class HttpLimits:
-    """Bounds of an HTTP server. Times are in seconds, sizes in bytes.
+    """Limits of an HTTP server. Times are in seconds, sizes in bytes.
 
-    `reserve` further connections are served when all `connections` are taken, but only for paths that
-    start with one of `reserved_paths`.
+    When `connections` are open, `reserve` further ones are accepted, but only for paths that start with one of
+    `reserved_paths`.
     """
 
     connections: int = 256
@@ -56,30 +56,30 @@
         self.tasks = TaskGroup("http", limits.connections + limits.reserve + 1)
         self._lock = threading.Lock()
         self._idle_since: dict[socket.socket, float] = {}
-        self._open: dict[socket.socket, bool] = {}  # whether the connection is one of the reserve
-        self._refused: deque[tuple[float, socket.socket]] = deque()
-        self._closing = threading.Lock()
+        self._reserved_by_connection: dict[socket.socket, bool] = {}  # open connections
+        self._lingering: deque[tuple[float, socket.socket]] = deque()
+        self._close_lock = threading.Lock()
         super().__init__(host, port, app, handler=Handler)
-        # Accepted connections inherit the options, which saves the calls for each of them.
-        limit_silence(self.socket, _UNACKNOWLEDGED_S)
-        limit_sends(self.socket, limits.write_s)
+        # Accepted connections inherit the options, which saves system calls for each of them.
+        set_dead_peer_timeouts(self.socket, _TCP_USER_TIMEOUT_S)
+        set_send_timeout(self.socket, limits.write_s)
 
     def draining(self) -> bool:
         return self.tasks.stopping.is_set()
 
-    def busy(self) -> int:
-        """Returns the number of connections with a request under way."""
+    def active_connections(self) -> int:
+        """Returns the number of connections with a request in progress."""
         with self._lock:
-            return len(self._open) - len(self._idle_since)
+            return len(self._reserved_by_connection) - len(self._idle_since)
 
     def is_reserved(self, connection: socket.socket) -> bool:
-        """Says whether a connection came when all others were taken."""
+        """Returns whether a connection was accepted from the reserve."""
         with self._lock:
-            return self._open.get(connection, False)
+            return self._reserved_by_connection.get(connection, False)
 
     @contextlib.contextmanager
     def idle_connection(self, connection: socket.socket) -> Iterator[None]:
-        """Marks a connection as waiting for its next request."""
+        """Marks a connection as idle while it waits for its next request."""
         with self._lock:
             self._idle_since[connection] = time.monotonic()
         try:
@@ -89,93 +89,96 @@
                 self._idle_since.pop(connection, None)
 
     def drain(self) -> None:
-        """Ends idle connections; those with a request under way close after its answer."""
+        """Closes idle connections; the others close after the response to their current request."""
         self.tasks.stopping.set()
-        self.end_idle()
+        self.close_idle_connections()
 
-    def end_idle(self) -> None:
-        """Ends the connections that wait for a request."""
+    def close_idle_connections(self) -> None:
+        """Closes the connections that wait for a request."""
         with self._lock:
             idle = list(self._idle_since)
         for connection in idle:
-            _shut(connection, socket.SHUT_RD)
+            _shutdown_socket(connection, socket.SHUT_RD)
 
-    def cut(self) -> int:
-        """Ends all connections at once and returns how many had a request under way."""
+    def abort_connections(self) -> int:
+        """Closes all connections immediately and returns how many had a request in progress."""
         with self._lock:
-            connections = list(self._open)
-            busy = len(self._open) - len(self._idle_since)
+            connections = list(self._reserved_by_connection)
+            active = len(self._reserved_by_connection) - len(self._idle_since)
         for connection in connections:
-            _shut(connection, socket.SHUT_RDWR)
-        return busy
+            _shutdown_socket(connection, socket.SHUT_RDWR)
+        return active
 
     def process_request(self, request: Any, client_address: Any) -> None:
         with self._lock:
-            reserved = len(self._open) >= self.limits.connections
-            full = len(self._open) >= self.limits.connections + self.limits.reserve
+            reserved = len(self._reserved_by_connection) >= self.limits.connections
+            full = len(self._reserved_by_connection) >= self.limits.connections + self.limits.reserve
             if not full:
-                self._open[request] = reserved
-            crowded = len(self._open) >= _CROWDED * self.limits.connections
-        if crowded:
-            self._end_idlest()
-        if full or self.tasks.start(self._handle, request, client_address) is None:
-            self._forget(request)
-            self._refuse(request)
-
-    def _end_idlest(self) -> None:
-        """Ends the keep-alive connection that has waited longest, so that idle callers cannot keep others out."""
+                self._reserved_by_connection[request] = reserved
+            near_limit = len(self._reserved_by_connection) >= _IDLE_EVICTION_FRACTION * self.limits.connections
+        if near_limit:
+            self._evict_longest_idle()
+        if full or self.tasks.start(self._serve_connection, request, client_address) is None:
+            self._remove_connection(request)
+            self._reject_connection(request)
+
+    def _evict_longest_idle(self) -> None:
+        """Closes the connection that has been idle longest, so that idle callers cannot block new ones."""
         now = time.monotonic()
         with self._lock:
-            idlest = min(self._idle_since, key=self._idle_since.get, default=None)
-            if idlest is None or now - self._idle_since[idlest] < _IDLE_KEPT_S:
+            longest_idle = min(self._idle_since, key=self._idle_since.get, default=None)
+            if longest_idle is None or now - self._idle_since[longest_idle] < _MIN_IDLE_S:
                 return
-            # It is no longer found by the next call, although its task needs a moment to end.
-            self._idle_since[idlest] = float("inf")
-        _shut(idlest, socket.SHUT_RD)
+            # Excludes the connection from the next call, since its task removes the entry only later.
+            self._idle_since[longest_idle] = float("inf")
+        _shutdown_socket(longest_idle, socket.SHUT_RD)
+
+    def _reject_connection(self, connection: socket.socket) -> None:
+        """Sends a 503 without blocking.
 
-    def _refuse(self, connection: socket.socket) -> None:
-        """Answers without waiting; closing at once would reset the connection before the answer is read."""
+        The close is delayed: it would reset the connection before the caller has read the response.
+        """
         try:
             connection.setblocking(False)
-            connection.send(refusal(503, "too_many_connections", "too many connections"))
+            connection.send(error_response(503, "too_many_connections", "too many connections"))
             connection.shutdown(socket.SHUT_WR)
         except OSError:
             pass
-        self._refused.append((time.monotonic(), connection))
+        self._lingering.append((time.monotonic(), connection))
         self.service_actions()
 
     def service_actions(self) -> None:
-        """Closes refused connections after a while; called by the accepting thread only."""
+        """Closes rejected connections after `_LINGER_S`; called by the accepting thread only."""
         now = time.monotonic()
-        while self._refused and (len(self._refused) > _REFUSED_KEPT or now - self._refused[0][0] >= _REFUSED_S):
-            self._refused.popleft()[1].close()
+        while self._lingering and (len(self._lingering) > _MAX_LINGERING or now - self._lingering[0][0] >= _LINGER_S):
+            self._lingering.popleft()[1].close()
 
     def server_close(self) -> None:
-        # The accepting thread closes the listener too when it ends. Whoever comes second has to wait for the first:
-        # otherwise the port may still take connections, which are then reset.
-        with self._closing:
+        # The accepting thread also closes the listener when it ends. The second caller must wait for the first to
+        # finish: otherwise the port may still accept connections after this returns, and reset them.
+        with self._close_lock:
             super().server_close()
-        while self._refused:
-            self._refused.popleft()[1].close()
+        while self._lingering:
+            self._lingering.popleft()[1].close()
 
-    def _handle(self, request: Any, client_address: Any) -> None:
+    def _serve_connection(self, request: Any, client_address: Any) -> None:
         try:
             self.finish_request(request, client_address)
         except OSError:
             pass
         finally:
-            self._forget(request)
+            self._remove_connection(request)
             self.shutdown_request(request)
 
-    def _forget(self, connection: socket.socket) -> None:
+    def _remove_connection(self, connection: socket.socket) -> None:
         with self._lock:
-            self._open.pop(connection, None)
+            self._reserved_by_connection.pop(connection, None)
 
     def log(self, type: str, message: str, *args: Any) -> None:
         _log.info(message.replace("%", "%%") if not args else message, *args)
 
 
-def _shut(connection: socket.socket, how: int) -> None:
+def _shutdown_socket(connection: socket.socket, how: int) -> None:
     with contextlib.suppress(OSError):
         connection.shutdown(how)
 
@@ -184,8 +187,8 @@
     """Serves a WSGI application on one address until the context ends.
 
     The application gets the whole request body in memory and the caller's socket as
-    ``environ["werkzeug.socket"]``. It may raise `AbortStreamError` after the response has begun. Leaving
-    the context lets the requests under way finish, unless `cut` is called.
+    ``environ["werkzeug.socket"]``. It may raise `AbortStreamError` after the response has begun. On exit from the
+    context, requests in progress finish, unless `cut` is called.
     """
 
     def __init__(
@@ -199,7 +202,7 @@
         self.address = "{}:{}".format(*self._server.server_address[:2])
 
     def __enter__(self) -> HttpServer:
-        self._server.tasks.start(self._server.serve_forever, _ACCEPT_S)
+        self._server.tasks.start(self._server.serve_forever, _SHUTDOWN_POLL_S)
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -207,24 +210,24 @@
         self._server.tasks.close()
 
     def stop_listening(self) -> None:
-        """Refuses new connections, ends the idle ones, and the others after the request under way."""
+        """Closes the listener and idle connections; the others close after their current request."""
         if not self._server.draining():
             self._server.drain()
             self._server.shutdown()
             self._server.server_close()
 
     def set_limits(self, limits: HttpLimits) -> None:
-        """Changes sizes and times for the requests that follow; the number of threads stays as it is."""
+        """Changes the limits for later requests; the number of threads and the send timeout stay unchanged."""
         self._server.limits = limits
 
     def end_idle(self) -> None:
-        """Ends the connections that wait for a request; new ones are still taken."""
-        self._server.end_idle()
+        """Closes the connections that wait for a request; new ones are still accepted."""
+        self._server.close_idle_connections()
 
     def busy(self) -> int:
-        """Returns the number of connections with a request under way."""
-        return self._server.busy()
+        """Returns the number of connections with a request in progress."""
+        return self._server.active_connections()
 
     def cut(self) -> int:
-        """Ends all connections at once and returns how many had a request under way."""
-        return self._server.cut()
+        """Closes all connections immediately and returns how many had a request in progress."""
+        return self._server.abort_connections()
--- a/libs/arbutusrill_http/_sockets.py
+++ b/libs/arbutusrill_http/_sockets.py
@@ -1,4 +1,4 @@
-"""Options of TCP sockets by which silent connections end."""
+"""TCP socket options and checks that detect unresponsive and disconnected peers."""
 
 from __future__ import annotations
 
@@ -6,38 +6,39 @@
 import socket
 import struct
 
-__all__ = ["caller_gone", "limit_silence", "limit_sends"]
+__all__ = ["caller_gone", "set_dead_peer_timeouts", "set_send_timeout"]
 
-_IDLE_S = 10
-_INTERVAL_S = 5
-_PROBES = 3
+_KEEPALIVE_IDLE_S = 10
+_KEEPALIVE_INTERVAL_S = 5
+_KEEPALIVE_PROBES = 3
 
 
-def limit_silence(connection: socket.socket, unacknowledged_s: float) -> None:
-    """Ends a connection whose peer no longer acknowledges: sent data after `unacknowledged_s`, idle ones by probes.
+def set_dead_peer_timeouts(connection: socket.socket, unacknowledged_s: float) -> None:
+    """Makes the kernel close a connection whose peer does not respond, and turns off Nagle's algorithm.
 
-    An idle connection is probed after 10 s and ends 15 s later at the latest.
+    Sent data must be acknowledged within `unacknowledged_s`. Keep-alive probes start after 10 s without traffic and
+    close the connection 15 s later at the latest.
     """
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _IDLE_S)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _INTERVAL_S)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(unacknowledged_s * 1000))
 
 
-def limit_sends(connection: socket.socket, seconds: float) -> None:
-    """Lets the kernel end a send after `seconds`, so that a blocking socket needs no poll before each send.
+def set_send_timeout(connection: socket.socket, seconds: float) -> None:
+    """Sets a kernel timeout for sends, so that a blocking socket needs no poll before each send.
 
-    A send that is ended raises `BlockingIOError`.
+    A send that times out raises `BlockingIOError`.
     """
-    whole = int(seconds)
-    limit = struct.pack("ll", whole, int((seconds - whole) * 1_000_000))
-    connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, limit)
+    whole_s = int(seconds)
+    timeval = struct.pack("ll", whole_s, int((seconds - whole_s) * 1_000_000))
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval)
 
 
 def caller_gone(connection: socket.socket) -> bool:
-    """Says whether the peer of `connection` has closed or reset it."""
+    """Returns whether the peer of `connection` has closed or reset it."""
     poller = select.poll()
     poller.register(connection, select.POLLRDHUP)
     return bool(poller.poll(0))
--- a/libs/arbutusrill_http/_transfer.py
+++ b/libs/arbutusrill_http/_transfer.py
@@ -1,4 +1,4 @@
-"""HTTP requests to backend servers by libcurl, while the caller's own connection is watched."""
+"""HTTP client on libcurl that cancels a request to a backend server when the caller disconnects."""
 
 from __future__ import annotations
 
@@ -14,26 +14,28 @@
 
 __all__ = ["Transfer", "TransferResult", "close_connections", "fetch"]
 
-_CONNECT_S = 2.0
-_KEPT_CONNECTIONS = 8
+_CONNECT_TIMEOUT_S = 2.0
+_MAX_IDLE_CONNECTIONS = 8
 _KEEPALIVE_IDLE_S = 10
 _KEEPALIVE_INTERVAL_S = 5
-_KEPT_S = 20  # below the idle limit of servers, so that a kept connection is rarely a closed one
-_UNACKNOWLEDGED_MS = 2000
-_SLICE_MS = 250
-_OWN_HEADERS = ("Accept", "Content-Type", "User-Agent")
-_IDENTITY = threading.local()
+_MAX_IDLE_S = 20  # below the servers' idle timeout, so that a pooled connection is rarely a closed one
+_TCP_USER_TIMEOUT_MS = 2000
+_MAX_POLL_MS = 250  # interval at which `should_stop`, `stall_s` and `timeout_s` are checked at the latest
+_LIBCURL_HEADERS = ("Accept", "Content-Type", "User-Agent")
+_thread_local = threading.local()
 
 
 @dataclass(slots=True)
 class Transfer:
     """One HTTP request.
 
-    `fresh` forces a connection of its own that is closed afterwards: libcurl resends a request by itself
-    when a reused connection turns out to be dead, which a call that may run only once must not meet.
-    `on_data` gets each piece of the body as it arrives; without it the body is collected. `stall_s` limits
-    the time without any byte, `connect_s` the time for a new connection, `timeout_s` the whole transfer.
-    `plain` leaves out the headers that libcurl adds by itself.
+    `fresh` opens a new connection and closes it afterwards. Calls that must run at most once need it, because libcurl
+    resends a request when a reused connection turns out to be closed.
+    `on_head` gets the status and the headers. `on_data` gets each part of the body as it arrives; without it the body
+    is collected. `should_stop` is polled and cancels the transfer when it returns True. `watched` is the connection of
+    the caller; the transfer is cancelled when the caller closes it.
+    `timeout_s` limits the whole transfer, `connect_s` the time to connect and `stall_s` the time without any byte.
+    `plain` omits the headers that libcurl adds by default.
     """
 
     method: str
@@ -42,7 +44,7 @@
     body: bytes = b""
     timeout_s: float = 30.0
     stall_s: float | None = None
-    connect_s: float = _CONNECT_S
+    connect_s: float = _CONNECT_TIMEOUT_S
     fresh: bool = False
     plain: bool = False
     watched: socket.socket | None = None
@@ -53,10 +55,11 @@
 
 @dataclass(slots=True)
 class TransferResult:
-    """How a transfer ended.
+    """Outcome of a transfer.
 
-    `error` is empty for a whole answer, else ``connect``, ``timeout``, ``stall``, ``gone`` (the caller left),
-    ``stopped``, ``broken`` or ``callback``. `verdict` says whether the server may have acted on the request.
+    `error` is empty for a complete response, else ``connect``, ``timeout``, ``stall``, ``gone`` (the caller closed
+    its connection), ``stopped`` (by `should_stop`), ``callback`` or ``broken`` (any other error); `detail` describes
+    it. `verdict` says whether the server may have run the request.
     """
 
     status: int = 0
@@ -68,41 +71,45 @@
 
     @property
     def whole(self) -> bool:
-        """Whether a complete answer arrived."""
+        """Whether a complete response arrived."""
         return not self.error
 
 
 def fetch(transfer: Transfer) -> TransferResult:
-    """Runs a transfer in the calling thread and returns how it ended; raises nothing of its own.
+    """Runs a transfer in the calling thread and returns its outcome; transfer errors are not raised.
 
-    An exception raised by `on_head` or `on_data` ends the transfer and is raised again.
+    An exception of `on_head` or `on_data` ends the transfer and is re-raised.
     """
-    return _Run(transfer).run()
+    return _TransferRun(transfer).run()
 
 
 def close_connections() -> None:
-    """Closes the idle connections of the calling thread, after an answer that was meant for another request."""
-    loop = getattr(_IDENTITY, "loop", None)
+    """Closes the idle connections of the calling thread.
+
+    Called after a response that belongs to another request, since the pooled connections may be out of sync.
+    """
+    loop = getattr(_thread_local, "loop", None)
     if loop is not None:
-        _IDENTITY.loop = None
+        _thread_local.loop = None
         loop.multi.close()
 
 
-def _multi() -> _Loop:
-    loop = getattr(_IDENTITY, "loop", None)
+def _current_loop() -> _EventLoop:
+    """Returns the event loop of the calling thread, which holds its connection pool."""
+    loop = getattr(_thread_local, "loop", None)
     if loop is None:
-        loop = _IDENTITY.loop = _Loop()
+        loop = _thread_local.loop = _EventLoop()
     return loop
 
 
-class _Loop:
-    """A libcurl multi handle of one thread, with the sockets that libcurl wants to wait for."""
+class _EventLoop:
+    """Event loop of one thread: a libcurl multi handle and a poller for its sockets."""
 
     def __init__(self) -> None:
         self.multi = pycurl.CurlMulti()
         self.multi.setopt(pycurl.M_SOCKETFUNCTION, self._on_socket)
         self.multi.setopt(pycurl.M_TIMERFUNCTION, self._on_timer)
-        self.multi.setopt(pycurl.M_MAXCONNECTS, _KEPT_CONNECTIONS)
+        self.multi.setopt(pycurl.M_MAXCONNECTS, _MAX_IDLE_CONNECTIONS)
         self.poller = select.poll()
         self._deadline: float | None = None
 
@@ -120,19 +127,19 @@
     def _on_timer(self, milliseconds: int) -> None:
         self._deadline = None if milliseconds < 0 else time.monotonic() + milliseconds / 1000
 
-    def wait_ms(self) -> float:
-        """Milliseconds until libcurl wants to act without any socket event."""
+    def _poll_timeout_ms(self) -> float:
+        """Returns the time until the timer of libcurl expires, at most `_MAX_POLL_MS`."""
         if self._deadline is None:
-            return _SLICE_MS
-        return min(_SLICE_MS, max(0.0, (self._deadline - time.monotonic()) * 1000))
+            return _MAX_POLL_MS
+        return min(_MAX_POLL_MS, max(0.0, (self._deadline - time.monotonic()) * 1000))
 
-    def step(self, watched: int) -> bool:
-        """Waits for events and lets libcurl act on them; returns whether `watched` was closed by its peer."""
-        gone = False
-        timeout = self.wait_ms()
+    def run_once(self, watched: int) -> bool:
+        """Polls once and passes the events to libcurl; returns whether the peer of `watched` has closed it."""
+        peer_closed = False
+        timeout = self._poll_timeout_ms()
         for descriptor, mask in self.poller.poll(timeout):
             if descriptor == watched:
-                gone = True
+                peer_closed = True
                 continue
             action = pycurl.CSELECT_IN if mask & (select.POLLIN | select.POLLHUP) else 0
             action |= pycurl.CSELECT_OUT if mask & select.POLLOUT else 0
@@ -141,39 +148,41 @@
         if self._deadline is not None and time.monotonic() >= self._deadline:
             self._deadline = None
             self.multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
-        return gone
+        return peer_closed
+
 
+class _TransferRun:
+    """State of one transfer while it runs."""
 
-class _Run:
     def __init__(self, transfer: Transfer):
         self._transfer = transfer
         self._result = TransferResult()
-        self._pieces: list[bytes] = []
-        self._raised: BaseException | None = None
-        self._last_byte = time.monotonic()
-        self._head_done = False
+        self._body_parts: list[bytes] = []
+        self._callback_error: BaseException | None = None
+        self._last_byte_at = time.monotonic()
+        self._headers_done = False
 
     def run(self) -> TransferResult:
-        loop = _multi()
-        easy = self._easy()
+        loop = _current_loop()
+        easy = self._make_easy_handle()
         watched = self._transfer.watched.fileno() if self._transfer.watched is not None else -1
         if watched >= 0:
             loop.poller.register(watched, select.POLLRDHUP)
         loop.multi.add_handle(easy)
         try:
             loop.multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
-            self._wait(loop, easy, watched)
+            self._wait_for_end(loop, easy, watched)
         finally:
             loop.multi.remove_handle(easy)
             if watched >= 0:
                 loop.poller.unregister(watched)
             easy.close()
-        if self._raised is not None:
-            raise self._raised
-        self._result.body = b"".join(self._pieces)
+        if self._callback_error is not None:
+            raise self._callback_error
+        self._result.body = b"".join(self._body_parts)
         return self._result
 
-    def _wait(self, loop: _Loop, easy: pycurl.Curl, watched: int) -> None:
+    def _wait_for_end(self, loop: _EventLoop, easy: pycurl.Curl, watched: int) -> None:
         deadline = time.monotonic() + self._transfer.timeout_s
         stall = self._transfer.stall_s
         while True:
@@ -183,31 +192,31 @@
                 self._result.verdict = Verdict.RAN
                 return
             if failed:
-                self._fail(easy, _word_of(failed[0][1]), failed[0][2])
+                self._fail(easy, _error_from_code(failed[0][1]), failed[0][2])
                 return
-            if loop.step(watched):
+            if loop.run_once(watched):
                 self._fail(easy, "gone", "the caller closed its connection")
                 return
             now = time.monotonic()
             if now >= deadline:
                 self._fail(easy, "timeout", f"no whole answer in {self._transfer.timeout_s:.3g} s")
                 return
-            if stall is not None and now - self._last_byte >= stall:
+            if stall is not None and now - self._last_byte_at >= stall:
                 self._fail(easy, "stall", f"no byte for {stall:.3g} s")
                 return
             if self._transfer.should_stop is not None and self._transfer.should_stop():
                 self._fail(easy, "stopped", "stopped by this process")
                 return
 
-    def _fail(self, easy: pycurl.Curl, word: str, detail: str) -> None:
-        # REQUEST_SIZE counts the bytes handed to the connection: with none out, nothing can have run.
+    def _fail(self, easy: pycurl.Curl, error: str, detail: str) -> None:
+        # REQUEST_SIZE is the number of bytes sent: if it is 0, the server cannot have run the request.
         sent = easy.getinfo(pycurl.REQUEST_SIZE) > 0
-        self._result.error = word
+        self._result.error = error
         self._result.detail = detail
         self._result.status = easy.getinfo(pycurl.RESPONSE_CODE)
         self._result.verdict = Verdict.MAY_HAVE_RUN if sent else Verdict.NOT_RUN
 
-    def _easy(self) -> pycurl.Curl:
+    def _make_easy_handle(self) -> pycurl.Curl:
         transfer = self._transfer
         easy = pycurl.Curl()
         easy.setopt(pycurl.URL, transfer.url)
@@ -216,12 +225,12 @@
         easy.setopt(pycurl.PROXY, "")
         easy.setopt(pycurl.PATH_AS_IS, 1)
         easy.setopt(pycurl.CONNECTTIMEOUT_MS, max(1, int(transfer.connect_s * 1000)))
-        easy.setopt(pycurl.SOCKOPTFUNCTION, _on_connection)
+        easy.setopt(pycurl.SOCKOPTFUNCTION, _on_socket_created)
         easy.setopt(pycurl.TCP_NODELAY, 1)
         easy.setopt(pycurl.TCP_KEEPALIVE, 1)
         easy.setopt(pycurl.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
         easy.setopt(pycurl.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
-        easy.setopt(pycurl.MAXAGE_CONN, _KEPT_S)
+        easy.setopt(pycurl.MAXAGE_CONN, _MAX_IDLE_S)
         easy.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
         easy.setopt(pycurl.WRITEFUNCTION, self._on_data)
         easy.setopt(pycurl.HEADERFUNCTION, self._on_header)
@@ -237,13 +246,13 @@
             easy.setopt(pycurl.FORBID_REUSE, 1)
         headers = ["Expect:", *transfer.headers]
         if transfer.plain:
-            given = {line.partition(":")[0].lower() for line in transfer.headers}
-            headers += [f"{name}:" for name in _OWN_HEADERS if name.lower() not in given]
+            given_names = {line.partition(":")[0].lower() for line in transfer.headers}
+            headers += [f"{name}:" for name in _LIBCURL_HEADERS if name.lower() not in given_names]
         easy.setopt(pycurl.HTTPHEADER, headers)
         return easy
 
     def _on_header(self, line: bytes) -> int | None:
-        self._last_byte = time.monotonic()
+        self._last_byte_at = time.monotonic()
         text = line.decode("latin-1").strip()
         if text.startswith("HTTP/"):
             self._result.status = int(text.split(None, 2)[1])
@@ -251,33 +260,33 @@
         elif ":" in text:
             name, _, value = text.partition(":")
             self._result.headers_by_name[name.strip().lower()] = value.strip()
-        elif not text and self._result.status >= 200 and not self._head_done:
-            self._head_done = True
+        elif not text and self._result.status >= 200 and not self._headers_done:
+            self._headers_done = True
             if self._transfer.on_head is not None:
-                return self._guard(self._transfer.on_head, self._result.status, self._result.headers_by_name)
+                return self._run_callback(self._transfer.on_head, self._result.status, self._result.headers_by_name)
         return None
 
     def _on_data(self, data: bytes) -> int | None:
-        self._last_byte = time.monotonic()
+        self._last_byte_at = time.monotonic()
         if self._transfer.on_data is None:
-            self._pieces.append(data)
+            self._body_parts.append(data)
             return None
-        return self._guard(self._transfer.on_data, data)
+        return self._run_callback(self._transfer.on_data, data)
 
-    def _guard(self, callback: Callable, *arguments: object) -> int | None:
+    def _run_callback(self, callback: Callable, *arguments: object) -> int | None:
         try:
             callback(*arguments)
         except BaseException as error:
-            self._raised = error
+            self._callback_error = error
             return -1
         return None
 
 
-def _on_connection(descriptor: int, _purpose: int) -> int:
-    # Naming family and kind saves the calls by which Python would find them out.
+def _on_socket_created(descriptor: int, _purpose: int) -> int:
+    # With family and type given, Python makes no system calls to find them out.
     connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, descriptor)
     try:
-        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS)
     except OSError:
         return pycurl.SOCKOPT_ERROR
     finally:
@@ -285,7 +294,7 @@
     return pycurl.SOCKOPT_OK
 
 
-def _word_of(code: int) -> str:
+def _error_from_code(code: int) -> str:
     if code in (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST):
         return "connect"
     if code == pycurl.E_OPERATION_TIMEDOUT:
--- a/libs/arbutusrill_http/_writer.py
+++ b/libs/arbutusrill_http/_writer.py
@@ -1,4 +1,4 @@
-"""Writing of one HTTP response."""
+"""Writer of HTTP responses."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class ResponseWriter:
-    """Writes one WSGI response, chunked when its length is not known beforehand.
+    """Writes one WSGI response, with chunked encoding if it has no Content-Length.
 
-    Each `write` is one send. `handler` is the connection's request handler, whose `close_connection` says
-    whether the connection ends after the response.
+    Each `write` makes one send. `handler` is the request handler of the connection; its `close_connection` says
+    whether the connection closes after the response.
     """
 
     def __init__(self, handler: Any):
@@ -20,26 +20,26 @@
         self._status = ""
         self._headers: list[tuple[str, str]] = []
         self._chunked = False
-        self._with_body = True
+        self._has_body = True
         self.head_sent = False
 
     def start(self, status: str, headers: list[tuple[str, str]], exc_info: Any = None) -> Callable[[bytes], None]:
-        """The `start_response` of WSGI."""
+        """Implements `start_response` of WSGI: stores status and headers until the first write."""
         if self.head_sent:
-            raise RuntimeError("the response has begun")
+            raise RuntimeError("start_response called after the response head was sent")
         self._status, self._headers = status, headers
         return self.write
 
-    def _head(self) -> bytes:
+    def _build_head(self) -> bytes:
         handler = self._handler
         names = {name.lower() for name, _ in self._headers}
         code = int(self._status.split(None, 1)[0])
         lines = [f"HTTP/1.1 {self._status}", *(f"{name}: {value}" for name, value in self._headers)]
         if "date" not in names:
             lines.append(f"Date: {handler.date_time_string()}")
-        bodiless = code in (204, 304) or code < 200
-        self._with_body = not bodiless and handler.command != "HEAD"
-        if "content-length" not in names and self._with_body:
+        no_body = code in (204, 304) or code < 200
+        self._has_body = not no_body and handler.command != "HEAD"
+        if "content-length" not in names and self._has_body:
             self._chunked = handler.request_version >= "HTTP/1.1"
             if self._chunked:
                 lines.append("Transfer-Encoding: chunked")
@@ -55,9 +55,9 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "replace")
 
     def write(self, data: bytes) -> None:
-        """Writes a piece of the body, after the head when it has not been sent."""
-        head = b"" if self.head_sent else self._head()
-        if not self._with_body:
+        """Writes a part of the body, preceded by the head on the first call."""
+        head = b"" if self.head_sent else self._build_head()
+        if not self._has_body:
             data = b""
         elif data and self._chunked:
             data = b"%x\r\n%b\r\n" % (len(data), data)
@@ -65,7 +65,7 @@
             self._send(head + data)
 
     def finish(self) -> None:
-        """Writes the end of the response."""
+        """Writes the head if it has not been sent, and the final chunk of a chunked body."""
         if not self.head_sent:
             self.write(b"")
         if self._chunked:
@@ -75,4 +75,4 @@
         try:
             self._handler.connection.sendall(data)
         except BlockingIOError:
-            raise TimeoutError("the caller does not read") from None
+            raise TimeoutError("send timed out: the caller does not read the response") from None
--- a/libs/arbutusrill_http/tests/test_server.py
+++ b/libs/arbutusrill_http/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Guards against a server that hangs, misreads a request or lets a cut answer look complete."""
+"""Tests that the server does not hang, rejects ambiguous requests and never makes an aborted response look complete."""
 
 import json
 import socket
@@ -23,14 +23,14 @@
 
 class App:
     def __init__(self):
-        self.hold = threading.Event()
+        self.release = threading.Event()
         self.bodies = []
 
     def __call__(self, environ, start):
         request = Request(environ)
         self.bodies.append(request.get_data())
         if request.path == "/hold":
-            self.hold.wait(20)
+            self.release.wait(20)
         if request.path == "/abort":
             start("200 OK", [])(b"some")
             raise AbortStreamError
@@ -51,7 +51,7 @@
 def server(app):
     with HttpServer("127.0.0.1", 0, app, LIMITS) as server:
         yield server
-        app.hold.set()
+        app.release.set()
 
 
 def connect(server):
@@ -69,8 +69,8 @@
     return f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n{more}\r\n".encode()
 
 
-def hold(server, app, number):
-    """Takes `number` connections; returns them once each has a request under way."""
+def occupy(server, app, number):
+    """Opens `number` connections; returns them once each has a request in progress."""
     connections = [connect(server) for _ in range(number)]
     for connection in connections:
         connection.sendall(get("/hold"))
@@ -80,19 +80,19 @@
     return connections
 
 
-def test_connections_above_the_bound_get_503_at_once(server, app):
-    held = hold(server, app, LIMITS.connections)
+def test_connections_above_the_limit_get_503_immediately(server, app):
+    held = occupy(server, app, LIMITS.connections)
     started = time.monotonic()
     answers = [exchange(server, get("/x")) for _ in range(10)]
     assert time.monotonic() - started < 3
     for answer in answers:
         assert answer.startswith(b"HTTP/1.1 503 ") and b'"verdict": "not_run"' in answer and b"Retry-After" in answer
-    app.hold.set()
+    app.release.set()
     assert all(connection.makefile("rb").read().endswith(b"whole") for connection in held)
 
 
-def test_silent_connections_above_the_bound_do_not_stop_the_server(server, app):
-    held = hold(server, app, LIMITS.connections)
+def test_silent_connections_above_the_limit_do_not_block_the_server(server, app):
+    held = occupy(server, app, LIMITS.connections)
     silent = [connect(server) for _ in range(20)]
     started = time.monotonic()
     assert exchange(server, get("/x")).startswith(b"HTTP/1.1 503 ")
@@ -101,14 +101,14 @@
         connection.close()
 
 
-def test_reserved_paths_are_served_when_callers_take_all_connections(server, app):
-    held = hold(server, app, LIMITS.connections)
+def test_reserved_paths_are_served_when_all_connections_are_in_use(server, app):
+    held = occupy(server, app, LIMITS.connections)
     assert exchange(server, get("/healthz")).endswith(b"whole")
     for connection in held:
         connection.close()
 
 
-def test_idle_connections_give_way_to_new_ones(server):
+def test_idle_connections_are_evicted_for_new_ones(server):
     idle = [connect(server) for _ in range(LIMITS.connections)]
     for connection in idle:
         connection.sendall(b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -151,7 +151,7 @@
         ("no colon\r\n", 400, "headers"),
     ],
 )
-def test_request_that_can_be_misread_is_refused(server, app, headers, status, param):
+def test_ambiguous_request_is_rejected(server, app, headers, status, param):
     answer = exchange(server, b"POST /x HTTP/1.1\r\nHost: x\r\n" + headers.encode() + b"\r\nX")
     assert answer.startswith(f"HTTP/1.1 {status} ".encode()), answer[:100]
     error = json.loads(answer.partition(b"\r\n\r\n")[2])["error"]
@@ -163,13 +163,13 @@
     "chunks, status",
     [(b"zz\r\nab\r\n", 400), (b"-1\r\nab\r\n", 400), (b"7d0\r\n" + b"x" * 2000 + b"\r\n0\r\n\r\n", 413)],
 )
-def test_malformed_chunks_are_refused(server, app, chunks, status):
+def test_malformed_chunks_are_rejected(server, app, chunks, status):
     answer = exchange(server, b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks)
     assert f" {status} ".encode() in answer[:20]
     assert not app.bodies
 
 
-def test_chunked_body_arrives_whole(server, app):
+def test_chunked_body_is_decoded(server, app):
     exchange(
         server,
         b"POST / HTTP/1.1\r\nHost: x\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -177,7 +177,7 @@
     assert app.bodies == [b"abc"]
 
 
-def test_body_that_the_caller_breaks_off_is_not_served(server, app):
+def test_request_with_incomplete_body_is_not_served(server, app):
     with connect(server) as connection:
         connection.sendall(b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nab")
     time.sleep(0.2)
@@ -192,22 +192,22 @@
     assert b'"verdict": "not_run"' in answer
 
 
-def test_cut_stream_does_not_look_complete(server):
+def test_aborted_stream_does_not_look_complete(server):
     assert exchange(server, get("/stream")).endswith(b"0\r\n\r\n")
     assert not exchange(server, get("/abort")).endswith(b"0\r\n\r\n")
 
 
-def test_bug_in_the_application_may_have_run(server):
+def test_application_error_has_verdict_may_have_run(server):
     assert b'"verdict": "may_have_run"' in exchange(server, get("/bug"))
 
 
-def test_head_has_no_body_and_1_0_ends_with_the_connection(server):
+def test_head_has_no_body_and_http_1_0_body_ends_with_the_connection(server):
     assert exchange(server, b"HEAD /stream HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").endswith(b"\r\n\r\n")
     answer = exchange(server, b"GET /stream HTTP/1.0\r\n\r\n")
     assert b"chunked" not in answer and answer.endswith(b"somemore")
 
 
-def test_kept_connection_serves_many_requests(server):
+def test_keep_alive_connection_serves_several_requests(server):
     with connect(server) as connection, connection.makefile("rb") as stream:
         for _ in range(3):
             connection.sendall(b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -217,14 +217,14 @@
             assert stream.read(5) == b"whole"
 
 
-def test_leaving_finishes_requests_and_refuses_new_ones(app):
+def test_stopping_finishes_requests_and_refuses_new_ones(app):
     with HttpServer("127.0.0.1", 0, app, LIMITS) as server:
-        (held,) = hold(server, app, 1)
+        (held,) = occupy(server, app, 1)
         idle = connect(server)
         idle.sendall(b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
         assert idle.recv(1000).endswith(b"whole")
         server.stop_listening()
-        # The thread of the idle connection may not have come back from its answer yet.
+        # The thread of the idle connection may still be finishing its response.
         deadline = time.monotonic() + 10
         while server.busy() != 1 and time.monotonic() < deadline:
             time.sleep(0.01)
@@ -232,5 +232,5 @@
         with pytest.raises(ConnectionRefusedError):
             connect(server)
         assert idle.recv(1) == b""
-        app.hold.set()
+        app.release.set()
         assert held.makefile("rb").read().endswith(b"whole")
--- a/libs/arbutusrill_http/tests/test_transfer.py
+++ b/libs/arbutusrill_http/tests/test_transfer.py
@@ -1,4 +1,4 @@
-"""Guards against transfers with a false verdict, and connections that stay silent for ever."""
+"""Tests the verdicts of failed transfers and the timeouts of unresponsive connections."""
 
 import socket
 import threading
@@ -23,7 +23,7 @@
     return "http://{}:{}/".format(*listener.getsockname())
 
 
-def test_refused_connection_is_not_run():
+def test_refused_connection_has_verdict_not_run():
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         url = "http://{}:{}/".format(*probe.getsockname())
@@ -43,13 +43,13 @@
         lambda connection: (connection.recv(9999), connection.sendall(b"HTT")),
     ],
 )
-def test_broken_answer_may_have_run(script):
+def test_incomplete_response_has_verdict_may_have_run(script):
     result = fetch(Transfer("POST", serve_once(script), body=b"x", fresh=True))
     assert not result.whole
     assert result.verdict is Verdict.MAY_HAVE_RUN
 
 
-def test_silent_server_ends_at_the_stall_limit():
+def test_silent_server_fails_after_stall_s():
     started = time.monotonic()
     result = fetch(Transfer("POST", serve_once(lambda c: time.sleep(5)), body=b"x", stall_s=0.4, fresh=True))
     assert (result.error, result.verdict) == ("stall", Verdict.MAY_HAVE_RUN)
@@ -67,29 +67,29 @@
         for fresh in (True, True, False, False):
             assert fetch(Transfer("GET", f"http://{server.address}/", fresh=fresh)).whole
     assert len(set(ports[:3])) == 3
-    assert ports[2] == ports[3], "other transfers reuse theirs"
+    assert ports[2] == ports[3], "transfers without fresh reuse the connection"
 
 
-def test_silent_connections_are_bounded_in_time(monkeypatch):
-    seen = []
+def test_unresponsive_connections_have_tcp_timeouts(monkeypatch):
+    server_options = []
 
     def app(environ, start):
         connection = environ["werkzeug.socket"]
-        seen.append(connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT))
-        seen.append(connection.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE))
-        seen.append(connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+        server_options.append(connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT))
+        server_options.append(connection.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE))
+        server_options.append(connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         return Response(b"ok")(environ, start)
 
-    options = []
-    kept = _transfer._on_connection
+    client_options = []
+    original = _transfer._on_socket_created
 
     def on_connection(descriptor, purpose):
-        result = kept(descriptor, purpose)
+        result = original(descriptor, purpose)
         with socket.fromfd(descriptor, socket.AF_INET, socket.SOCK_STREAM) as connection:
-            options.append(connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT))
+            client_options.append(connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT))
         return result
 
-    monkeypatch.setattr(_transfer, "_on_connection", on_connection)
+    monkeypatch.setattr(_transfer, "_on_socket_created", on_connection)
     with HttpServer("127.0.0.1", 0, app) as server:
         assert fetch(Transfer("GET", f"http://{server.address}/", fresh=True)).whole
-    assert (seen, options) == ([10_000, 1, 1], [2000])
+    assert (server_options, client_options) == ([10_000, 1, 1], [2000])
