--- a/libs/arbutusrill_wire/__init__.py
+++ b/libs/arbutusrill_wire/__init__.py
@@ -1,4 +1,4 @@
-"""Messages and remote calls between arbutusrill processes."""
+"""Thrift messages and RPC between arbutusrill processes."""
 
 from ._client import NotSentError, RpcClient, RpcError
 from ._frames import MAX_FRAME_BYTES, FrameError
--- a/libs/arbutusrill_wire/_client.py
+++ b/libs/arbutusrill_wire/_client.py
@@ -1,4 +1,4 @@
-"""RPC client: pooled connections, a deadline on every call."""
+"""RPC client with pooled connections and a deadline for each call."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 
 __all__ = ["NotSentError", "RpcClient", "RpcError"]
 
-_MAX_IDLE = 32
-_IDLE_S = 20.0  # below the server's idle limit, so that a pooled connection is rarely a closed one
+_MAX_IDLE_CONNECTIONS = 32
+_MAX_IDLE_S = 20.0  # below the server's idle timeout, so that a pooled connection is rarely a closed one
 
 
 class RpcError(ConnectionError):
-    """The call has no answer: it may or may not have been carried out."""
+    """A call failed without a result; the server may have executed it."""
 
 
 class NotSentError(RpcError):
-    """The connection could not be opened, so that the call was certainly not carried out."""
+    """The connection could not be opened, so the call was not executed."""
 
 
 class RpcClient:
-    """Calls the services of one peer.
+    """Calls the services of one RPC server.
 
-    Each connection carries one call at a time and is closed after any error, so that a late answer can
-    never be taken for the answer to another call.
+    Each connection carries one call at a time and is closed after an error, so that a late reply cannot be taken for
+    the reply to another call.
     """
 
     def __init__(self, address: str):
         self.address = address
-        self._target = split_address(address)
+        self._host_and_port = split_address(address)
         self._lock = threading.Lock()
         self._idle: deque[tuple[float, socket.socket]] = deque()
         self._sequence = itertools.count(1)
@@ -53,22 +53,23 @@
         self.close()
 
     def call(self, service: Any, name: str, *arguments: Any, timeout: float) -> Any:
-        """Calls method `name` of `service` and returns its result within `timeout` seconds.
+        """Calls method `name` of `service` and returns its result.
 
-        Raises the exception that the IDL declares for the method, `NotSentError` or `RpcError`.
+        Raises the exception that the IDL declares for the method, `NotSentError`, or `RpcError`, also when there is no
+        reply within `timeout` seconds.
         """
         deadline = time.monotonic() + timeout
-        connection = self._take(timeout)
+        connection = self._acquire_connection(timeout)
         try:
             sequence = next(self._sequence) & 0x7FFFFFFF
             connection.settimeout(timeout)
-            write_frame(connection, _request(service, name, arguments, sequence))
+            write_frame(connection, _encode_call(service, name, arguments, sequence))
             frame = read_frame(connection, max(0.001, deadline - time.monotonic()))
             if frame is None:
                 raise FrameError("connection closed before the answer")
-            result = _reply(service, name, frame, sequence)
+            result = _decode_reply(service, name, frame, sequence)
         except messages.Refused:
-            self._give_back(connection)
+            self._release_connection(connection)
             raise
         except RpcError:
             connection.close()
@@ -76,35 +77,35 @@
         except Exception as error:
             connection.close()
             raise RpcError(f"{name} at {self.address}: {error}") from error
-        self._give_back(connection)
+        self._release_connection(connection)
         return result
 
-    def _take(self, timeout: float) -> socket.socket:
-        oldest = time.monotonic() - _IDLE_S
+    def _acquire_connection(self, timeout: float) -> socket.socket:
+        min_idle_since = time.monotonic() - _MAX_IDLE_S
         while True:
             with self._lock:
                 if not self._idle:
                     break
                 since, connection = self._idle.pop()
-            if since >= oldest:
+            if since >= min_idle_since:
                 return connection
             connection.close()
         try:
-            connection = socket.create_connection(self._target, timeout=timeout)
+            connection = socket.create_connection(self._host_and_port, timeout=timeout)
         except OSError as error:
             raise NotSentError(f"{self.address} cannot be reached: {error}") from error
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return connection
 
-    def _give_back(self, connection: socket.socket) -> None:
+    def _release_connection(self, connection: socket.socket) -> None:
         with self._lock:
-            if not self._closed and len(self._idle) < _MAX_IDLE:
+            if not self._closed and len(self._idle) < _MAX_IDLE_CONNECTIONS:
                 self._idle.append((time.monotonic(), connection))
                 return
         connection.close()
 
     def close(self) -> None:
-        """Closes the idle connections; calls under way finish."""
+        """Closes the idle connections; calls in progress finish."""
         with self._lock:
             self._closed = True
             idle = [connection for _, connection in self._idle]
@@ -113,26 +114,26 @@
             connection.close()
 
 
-def _request(service: Any, name: str, arguments: tuple, sequence: int) -> bytes:
-    out, protocol = message_writer()
-    call = getattr(service, f"{name}_args")()
-    for spec, value in zip(call.thrift_spec.values(), arguments, strict=True):
-        setattr(call, spec[1], value)
+def _encode_call(service: Any, name: str, arguments: tuple, sequence: int) -> bytes:
+    buffer, protocol = message_writer()
+    args = getattr(service, f"{name}_args")()
+    for spec, value in zip(args.thrift_spec.values(), arguments, strict=True):
+        setattr(args, spec[1], value)
     protocol.write_message_begin(name, TMessageType.CALL, sequence)
-    call.write(protocol)
+    args.write(protocol)
     protocol.write_message_end()
-    return out.getvalue()
+    return buffer.getvalue()
 
 
-def _reply(service: Any, name: str, frame: bytes, sequence: int) -> Any:
+def _decode_reply(service: Any, name: str, frame: bytes, sequence: int) -> Any:
     protocol = TBinaryProtocolFactory().get_protocol(TMemoryBuffer(frame))
-    answered, kind, answered_sequence = protocol.read_message_begin()
-    if answered != name or answered_sequence != sequence:
-        raise RpcError(f"answer to {answered} number {answered_sequence} for {name} number {sequence}")
+    reply_name, kind, reply_sequence = protocol.read_message_begin()
+    if reply_name != name or reply_sequence != sequence:
+        raise RpcError(f"answer to {reply_name} number {reply_sequence} for {name} number {sequence}")
     if kind == TMessageType.EXCEPTION:
-        fault = TApplicationException()
-        fault.read(protocol)
-        raise RpcError(f"{name}: {fault.message}")
+        error = TApplicationException()
+        error.read(protocol)
+        raise RpcError(f"{name}: {error.message}")
     result = getattr(service, f"{name}_result")()
     result.read(protocol)
     for spec in result.thrift_spec.values():
--- a/libs/arbutusrill_wire/_idl.py
+++ b/libs/arbutusrill_wire/_idl.py
@@ -1,4 +1,4 @@
-"""The thrift messages, from the specification that is generated of the IDL file beside this module."""
+"""Thrift message classes, built from the JSON specification that is generated from the IDL file."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def encode(message: Any) -> bytes:
-    """Serialises a thrift struct in the binary protocol.
+    """Serializes a thrift struct in the binary protocol.
 
     >>> decode(messages.SetDefault, encode(messages.SetDefault("a", "1"))).value_json
     '1'
@@ -30,14 +30,14 @@
 
 
 def message_writer() -> tuple[TCyMemoryBuffer, TCyBinaryProtocol]:
-    """Returns a memory buffer and the compiled protocol that writes to it, about ten times as fast as plain Python.
+    """Returns a memory buffer and a compiled protocol that writes to it, about ten times as fast as plain Python.
 
-    Only for writing: the compiled reader spends seconds on some malformed containers.
+    Not for reading: the compiled reader takes seconds on some malformed containers.
     """
     buffer = TCyMemoryBuffer()
     return buffer, TCyBinaryProtocol(buffer)
 
 
 def decode(kind: type[T], data: bytes) -> T:
-    """Parses a thrift struct; raises an exception of thriftpy2 or `ValueError` when `data` is no such struct."""
+    """Parses a thrift struct; raises `ValueError` or an exception of thriftpy2 if `data` is malformed."""
     return deserialize(kind(), data)
--- a/libs/arbutusrill_wire/_server.py
+++ b/libs/arbutusrill_wire/_server.py
@@ -1,4 +1,4 @@
-"""RPC server: one task for each connection, from a bounded group."""
+"""RPC server that serves each connection in a thread of a bounded pool."""
 
 from __future__ import annotations
 
@@ -17,17 +17,18 @@
 
 __all__ = ["RpcServer"]
 
-_IDLE_S = 60.0
+_IDLE_TIMEOUT_S = 60.0
 _SEND_TIMEOUT_S = 5.0
 _log = PartLog("rpc")
 
 
 class RpcServer:
-    """Serves thrift services on one address until the context ends.
+    """Serves thrift services on one address until the context exits.
 
-    `handlers` maps a service of the IDL to the object with its methods. Method names are unique over
-    all services, so that one port serves several of them. A connection above `limit` is closed at once.
-    `on_call` is told each call's method, its outcome (``ok``, ``refused`` or ``failed``) and its time in seconds.
+    `handlers` maps each service of the IDL to the object that implements its methods. One port can serve several
+    services, because method names are unique across them. Connections above `limit` are closed immediately.
+    `on_call` is called after each call with its method, its outcome and its duration in seconds. The outcome is ``ok``,
+    ``refused`` (an exception that the IDL declares) or ``failed`` (any other).
     """
 
     def __init__(self, host: str, port: int, handlers: dict[Any, object], limit: int = 256):
@@ -41,12 +42,12 @@
         self.address = "{}:{}".format(*self._listener.getsockname()[:2])
 
     def add(self, service: Any, handler: object) -> None:
-        """Serves one more service; calls that came before were answered that their method is unknown."""
+        """Adds a service; until then, calls of its methods fail with an unknown method error."""
         methods = {name: (service, getattr(handler, name)) for name in service.thrift_services}
         self._method_by_name = {**self._method_by_name, **methods}
 
     def __enter__(self) -> RpcServer:
-        self._tasks.start(self._accept)
+        self._tasks.start(self._accept_connections)
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -59,7 +60,7 @@
             connection.close()
         self._tasks.close()
 
-    def _accept(self) -> None:
+    def _accept_connections(self) -> None:
         while not self._tasks.stopping.is_set():
             try:
                 connection, _ = self._listener.accept()
@@ -69,22 +70,22 @@
                 return
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._connections.add(connection)
-            if self._tasks.start(self._serve, connection) is None:
-                _log.warning("connection refused, all threads are taken")
+            if self._tasks.start(self._serve_connection, connection) is None:
+                _log.warning("rejected a connection: all threads are in use")
                 self._close(connection)
 
-    def _serve(self, connection: socket.socket) -> None:
+    def _serve_connection(self, connection: socket.socket) -> None:
         try:
             while not self._tasks.stopping.is_set():
-                frame = read_frame(connection, _IDLE_S)
+                frame = read_frame(connection, _IDLE_TIMEOUT_S)
                 if frame is None:
                     return
                 connection.settimeout(_SEND_TIMEOUT_S)
-                write_frame(connection, self._answer(frame))
+                write_frame(connection, self._handle_call(frame))
         except OSError:
             pass
         except Exception as error:
-            _log.warning("connection closed after a malformed message: %r", error)
+            _log.warning("closed a connection after a malformed message: %r", error)
         finally:
             self._close(connection)
 
@@ -92,13 +93,13 @@
         self._connections.discard(connection)
         connection.close()
 
-    def _answer(self, frame: bytes) -> bytes:
+    def _handle_call(self, frame: bytes) -> bytes:
         protocol = TBinaryProtocolFactory().get_protocol(TMemoryBuffer(frame))
         name, _, sequence = protocol.read_message_begin()
-        out, reply = message_writer()
+        buffer, reply = message_writer()
         if name not in self._method_by_name:
-            _write_fault(reply, name, sequence, TApplicationException.UNKNOWN_METHOD, f"unknown method {name}")
-            return out.getvalue()
+            _write_exception(reply, name, sequence, TApplicationException.UNKNOWN_METHOD, f"unknown method {name}")
+            return buffer.getvalue()
         service, method = self._method_by_name[name]
         arguments = getattr(service, f"{name}_args")()
         arguments.read(protocol)
@@ -107,20 +108,21 @@
         try:
             result.success = method(*(getattr(arguments, spec[1]) for spec in arguments.thrift_spec.values()))
         except Exception as error:
-            outcome = "refused" if _set_declared(result, error) else "failed"
+            outcome = "refused" if _set_declared_exception(result, error) else "failed"
             if outcome == "failed":
-                _log.exception("call of %s failed", name)
-                _write_fault(reply, name, sequence, TApplicationException.INTERNAL_ERROR, repr(error))
+                _log.exception("method %s raised an exception that the IDL does not declare", name)
+                _write_exception(reply, name, sequence, TApplicationException.INTERNAL_ERROR, repr(error))
         self.on_call(name, outcome, time.monotonic() - started)
         if outcome == "failed":
-            return out.getvalue()
+            return buffer.getvalue()
         reply.write_message_begin(name, TMessageType.REPLY, sequence)
         result.write(reply)
         reply.write_message_end()
-        return out.getvalue()
+        return buffer.getvalue()
 
 
-def _set_declared(result: Any, error: Exception) -> bool:
+def _set_declared_exception(result: Any, error: Exception) -> bool:
+    """Stores an exception in a result if the IDL declares it for the method; returns whether it does."""
     for spec in result.thrift_spec.values():
         if spec[1] != "success" and len(spec) > 2 and isinstance(error, spec[2]):
             setattr(result, spec[1], error)
@@ -128,7 +130,7 @@
     return False
 
 
-def _write_fault(reply: Any, name: str, sequence: int, kind: int, message: str) -> None:
+def _write_exception(reply: Any, name: str, sequence: int, kind: int, message: str) -> None:
     reply.write_message_begin(name, TMessageType.EXCEPTION, sequence)
     TApplicationException(kind, message).write(reply)
     reply.write_message_end()
--- a/libs/arbutusrill_wire/arbutusrill.thrift
+++ b/libs/arbutusrill_wire/arbutusrill.thrift
@@ -1,7 +1,7 @@
 // Messages between arbutusrill processes.
 //
-// Compatibility rule: fields are only added, always with a new number and always optional for the reader.
-// A field number is never reused. Readers skip the fields that they do not know.
+// Compatibility rules: new fields get a new number and are optional for readers. Field numbers are never reused.
+// Readers skip unknown fields.
 
 enum Verdict {
   NOT_RUN = 0,
@@ -9,7 +9,7 @@
   RAN = 2
 }
 
-// Raised by any call that is refused. `leader` names the RPC address to try instead, where known.
+// Raised by any call that is rejected. `leader` is the RPC address to try instead, if known.
 exception Refused {
   1: string code,
   2: string message,
@@ -18,12 +18,10 @@
   5: string leader = ""
 }
 
-// ---- Replicated log -------------------------------------------------------------------------------------
-
 struct LogEntry {
   1: i64 index,
   2: i64 term,
-  3: i32 kind = 0,          // 0 command, 1 no operation, 2 membership change
+  3: i32 kind = 0,          // 0: command, 1: no-op, 2: membership change
   4: binary data
 }
 
@@ -34,7 +32,7 @@
   4: i64 last_term,
   5: bool pre_vote = false,
   6: string disk_id = "",
-  7: string target = ""     // member ID that the message is meant for: RPC address "/" disk ID
+  7: string target = ""     // member ID of the receiver: RPC address "/" disk ID
 }
 
 struct VoteReply {
@@ -50,14 +48,14 @@
   5: list<LogEntry> entries,
   6: i64 commit_index,
   7: string disk_id = "",
-  8: string target = "",    // member ID that the message is meant for
-  9: i64 previous_chain = 0 // running hash of the log up to previous_index
+  8: string target = "",    // member ID of the receiver
+  9: i64 previous_chain = 0 // hash chain of the log up to previous_index
 }
 
 struct AppendReply {
   1: i64 term,
   2: bool success,
-  3: i64 match_index,       // highest index known to match when success, else a hint where to continue
+  3: i64 match_index,       // on success the highest index known to match, else a hint for the next index to send
   4: string disk_id = ""
 }
 
@@ -70,7 +68,7 @@
   6: binary data,
   7: bool done = false,
   8: binary membership,
-  9: string target = ""     // member ID that the message is meant for
+  9: string target = ""     // member ID of the receiver
 }
 
 struct SnapshotReply {
@@ -79,9 +77,9 @@
 }
 
 struct HelloReply {
-  1: string member,         // member ID of the replica that answers
-  2: string group = "",     // group that it belongs to, empty before it has joined one
-  3: string fault = ""      // why it does not take part, empty when it does
+  1: string member,         // member ID of the replying replica
+  2: string group = "",     // group of the replica, empty before it has joined one
+  3: string fault = ""      // why the replica does not participate, empty if it does
 }
 
 service Raft {
@@ -91,13 +89,11 @@
   HelloReply hello(1: string caller) throws (1: Refused refused)
 }
 
-// ---- Commands of the state machine ----------------------------------------------------------------------
-
 struct Route {
   1: string method = "*",       // HTTP method or "*"
-  2: string prefix = "/",       // path prefix inside the service
-  3: bool open = false,         // callers need no key
-  4: bool repeatable = true     // false: the call may run at most once
+  2: string prefix = "/",       // path prefix within the service
+  3: bool open = false,         // true: no API key is needed
+  4: bool repeatable = true     // false: the call must run at most once
 }
 
 struct SetDefault { 1: string name, 2: string value_json }
@@ -127,16 +123,17 @@
 struct SetFeatureLevel { 1: i32 level }
 struct ForgetVm { 1: string id, 2: i64 incarnation }      // feature level 2
 
-// A whole configuration as one document; the highest version is in force. `body` is compressed with zlib.
+// Complete configuration as one document; the highest version applies. `body` is compressed with zlib.
 struct PutDocument { 1: i64 version, 2: binary body }
 
+// Model that an engine has loaded.
 struct LoadedModel { 1: string name, 2: i64 version }
 
-// What a backend server last said of itself.
+// Latest announcement of a backend server.
 struct BackendRecord {
   1: string id,
-  2: i64 started_ms,             // wall clock of its start by its own clock; larger for a later start
-  3: i64 sequence,               // increases with each announcement of one start
+  2: i64 started_ms,             // start time by the wall clock of the server; larger for a later start
+  3: i64 sequence,               // increases with each announcement after one start
   4: string service_name,
   5: string address,             // IP:port
   6: string data_centre,
@@ -145,13 +142,13 @@
   9: string stage = "",          // prefill, decode, or empty for a plain service
   10: list<LoadedModel> models,
   11: string software = "",
-  12: string ordered_stage = ""   // set by the leader: the stage that the engine is about to change to
+  12: string ordered_stage = ""   // set by the leader: the stage that the engine was ordered to change to
 }
 
-// A backend server that has said that it leaves: announcements of that start up to `sequence` no longer count.
+// Departure of a backend server: announcements of that start up to `sequence` are ignored.
 struct PutDeparture { 1: string id, 2: i64 started_ms, 3: i64 sequence }
 
-// The backend servers that the leader knows, for the leader after it.
+// Backend servers known to the leader, replicated for its successor.
 struct PutBackends { 1: list<BackendRecord> backends }
 
 struct JournalBegin {
@@ -160,17 +157,17 @@
 struct JournalFinish {
   1: string workspace, 2: string key, 3: i32 attempt, 4: string status,   // done, not_run, ran or unknown
   5: i32 http_status = 0, 6: string headers_json = "", 7: binary body,
-  8: string begin_id = ""        // request id of the begin; with it, `attempt` may be 0 when the answer was lost
+  8: string begin_id = ""        // request ID of the JournalBegin; with it, `attempt` may be 0 if the reply was lost
 }
-// `elapsed_ms` is the time since the last sweep on the leader's monotonic clock; `before_ms` is not used any more.
+// `elapsed_ms` is the time since the last sweep by the leader's monotonic clock; `before_ms` is no longer used.
 struct JournalSweep { 1: i64 before_ms = 0, 2: i64 elapsed_ms = 0 }
 
-// Exactly one of the fields from 10 on is set.
+// Command of the replicated state machine. Exactly one of the fields from number 10 on is set.
 struct Command {
   1: string request_id,
   2: string actor,
-  3: i64 at_ms,                  // wall clock of the proposer, milliseconds since 1970
-  4: i64 if_revision = -1,       // compare-and-set on the revision; -1: none
+  3: i64 at_ms,                  // wall clock of the proposer, milliseconds since the Unix epoch
+  4: i64 if_revision = -1,       // apply only at this revision (compare-and-set); -1: at any
   10: SetDefault set_default,
   11: UnsetDefault unset_default,
   12: AddException add_exception,
@@ -187,25 +184,23 @@
   23: PutOrder put_order,
   24: SetFeatureLevel set_feature_level,
   25: ForgetVm forget_vm,
-  30: PutDocument put_document,   // does not move the revision
-  31: PutDeparture put_departure, // does not move the revision
-  32: PutBackends put_backends,   // does not move the revision
+  30: PutDocument put_document,   // does not change the revision
+  31: PutDeparture put_departure, // does not change the revision
+  32: PutBackends put_backends,   // does not change the revision
   40: JournalBegin journal_begin,
   41: JournalFinish journal_finish,
   42: JournalSweep journal_sweep
 }
 
-// The state machine's answer to a command.
+// Result of a command in the state machine.
 struct Outcome {
   1: bool accepted,
   2: i64 revision,
-  3: string code = "",           // fixed word when not accepted
+  3: string code = "",           // error code if not accepted
   4: string message = "",
-  5: binary detail               // journal_begin: a serialised BeginAnswer; issue_key: the key's id
+  5: binary detail               // journal_begin: a serialized BeginAnswer; issue_key: the key's ID
 }
 
-// ---- Snapshots of the config state ----------------------------------------------------------------------
-
 struct ExceptionRecord {
   1: string id, 2: string default_name, 3: string scope_kind, 4: string scope_name, 5: string value_json,
   6: string reason, 7: string actor, 8: i64 at_ms
@@ -239,8 +234,6 @@
 }
 struct JournalSnapshot { 1: list<JournalRecord> records, 2: i64 clock_ms }
 
-// ---- Control --------------------------------------------------------------------------------------------
-
 struct FollowRequest {
   1: string vm,
   2: i64 incarnation,
@@ -259,33 +252,33 @@
 
 struct FollowReply {
   1: list<RevisionedCommand> commands,
-  2: ConfigSnapshot snapshot,            // set instead of commands when the caller is too far behind
-  3: i64 confirmed_revision,     // the state is fresh once this revision is applied
-  4: i32 lease_ms,               // VM lease, counted from when the caller sent the request
+  2: ConfigSnapshot snapshot,            // sent instead of commands if the caller is too far behind
+  3: i64 confirmed_revision,     // the caller's state is current once it has applied this revision
+  4: i32 lease_ms,               // VM lease, starting when the caller sent the request
   5: string leader
 }
 
-// Tokens of an earlier grant that were not spent; `issued_us` and `epoch` are those of the grant.
+// Unspent tokens of an earlier grant; `issued_us` and `epoch` are those of the grant.
 struct ReturnedTokens { 1: double tokens, 2: i64 issued_us, 3: i64 epoch }
 
 struct GrantItem {
   1: string workspace,
-  2: double wanted,              // tokens, `needed` included
-  3: double returned = 0,        // not used any more, see `returns`
-  4: double needed = 0,          // a smaller grant than this is useless to the caller
+  2: double wanted,              // tokens, including `needed`
+  3: double returned = 0,        // no longer used, see `returns`
+  4: double needed = 0,          // smallest grant that the caller can use
   5: list<ReturnedTokens> returns
 }
-// A request with the `sequence` of the one before gets the same answer again; an older one is refused.
+// A request with the `sequence` of the previous one gets the same reply again; an older one is rejected.
 struct GrantRequest {
   1: string vm, 2: i64 incarnation, 3: list<GrantItem> items, 4: i64 epoch = 0, 5: i64 sequence = 0
 }
 struct Grant {
   1: string workspace,
   2: double tokens,
-  3: i32 lease_ms,               // counted from when the caller sent the request for the first time
-  4: double capacity,            // largest single charge that can ever be granted
+  3: i32 lease_ms,               // starting when the caller first sent the request
+  4: double capacity,            // largest single charge that can be granted
   5: i32 retry_after_ms = 0,
-  6: i64 issued_us = 0           // the owner's time of the grant, sent back with returned tokens
+  6: i64 issued_us = 0           // time of the grant by the owner's clock, sent back with returned tokens
 }
 struct GrantReply { 1: list<Grant> grants, 2: i64 epoch }
 
@@ -306,14 +299,14 @@
   7: i64 revision, 8: list<string> voters, 9: list<string> learners, 10: string fault = ""
 }
 
-// A member of the control group as its leader sees it.
+// Member of the control group as seen by the leader.
 struct ReplicaRow {
   1: string id,             // member ID: RPC address "/" disk ID
   2: string address,
   3: string kind,           // voter or learner
   4: bool leads,
   5: i64 match_index,
-  6: i64 silent_ms          // since its last answer, -1 for never
+  6: i64 silent_ms          // time since its last reply, -1 if there was none
 }
 
 service Control {
@@ -326,13 +319,11 @@
   void open_pool(1: string name, 2: string kind) throws (1: Refused refused),   // kind: model or service
   ReplicaStatus replica_status() throws (1: Refused refused),
   list<ReplicaRow> replicas() throws (1: Refused refused),
-  // Replaces member `old` (ID or RPC address) by the replica at RPC address `replacement` and returns its ID.
+  // Replaces member `old` (member ID or RPC address) by the replica at RPC address `replacement`; returns its ID.
   string replace_replica(1: string old, 2: string replacement) throws (1: Refused refused)
 }
 
-// ---- Pools ----------------------------------------------------------------------------------------------
-
-// What a backend server says of itself, repeated every half second.
+// State of a backend server, which it announces every half second.
 struct Announcement {
   1: string id,
   2: i64 incarnation,
@@ -347,7 +338,7 @@
   11: double token_gap_s = 0,
   12: bool checks_fencing = false,
   13: string state = "ready",    // ready, draining or leaving
-  14: i32 running = 0,           // load report, may lag
+  14: i32 running = 0,           // load report, may be outdated
   15: i32 queued = 0,
   16: list<string> versions,
   17: i64 report_seq = 0,
@@ -358,26 +349,26 @@
   1: string id,
   2: i64 incarnation,
   3: i64 first_seq,
-  4: list<string> added,         // prefix block hashes
+  4: list<string> added,         // prefix hashes of blocks
   5: list<string> removed,
-  6: bool full = false           // the whole content, after a resynchronisation
+  6: bool full = false           // `added` is the whole cache content, after a resynchronization
 }
 
 struct AcquireRequest {
   1: string pool,
-  2: string ticket,              // request id; polling again with it keeps the place in the queue
+  2: string ticket,              // request ID; polling again with it keeps the position in the queue
   3: string vm,
   4: i64 incarnation,
   5: string workspace,
   6: double weight = 1.0,
   7: string latency_class,       // lookup, interactive or briefing
-  8: i64 deadline_ms,            // from when the request is sent
+  8: i64 deadline_ms,            // relative to when the request is sent
   9: i64 prompt_tokens = 0,
   10: i64 output_tokens = 0,
   11: list<string> prefix_blocks,
   12: string data_centre = "",
   13: i32 wait_ms = 300,
-  14: list<string> avoid,        // backend servers that already failed this request
+  14: list<string> avoid,        // backend servers that have failed this request
   15: i64 epoch = 0
 }
 
@@ -417,48 +408,45 @@
   void release(1: ReleaseRequest request) throws (1: Refused refused),
   void renew(1: RenewRequest request) throws (1: Refused refused),
   bool announce(1: Announcement announcement) throws (1: Refused refused),
-  bool cache_events(1: CacheEvents events) throws (1: Refused refused),   // false: please resynchronise
+  bool cache_events(1: CacheEvents events) throws (1: Refused refused),   // false: the caller must resynchronize
   list<PoolStatus> pool_status() throws (1: Refused refused)
 }
 
-// ---- Sites: one configuration document, backend servers that announce themselves, entry VMs --------------
-
-// A model that an engine has loaded.
-// An entry VM as the directory lists it.
+// Entry VM in the directory.
 struct EntryRecord { 1: string id, 2: string address, 3: string data_centre, 4: string state }  // ready or draining
 
-// Load that one entry VM has on a backend server.
+// Load of one entry VM on a backend server.
 struct BackendUse { 1: string id, 2: i32 requests, 3: i64 tokens }
 
-// A place that an entry VM holds on a decode engine.
+// Reservation ("place") of an entry VM on a decode engine.
 struct HeldPlace {
   1: i64 place,
   2: string backend,
   3: i64 tokens,
   4: string service_name = "",
-  5: i64 output_tokens = 0,            // part of `tokens` that is filled while the stream lasts
+  5: i64 output_tokens = 0,            // part of `tokens` that is filled during the stream
   6: i64 age_ms = 0,
-  7: i32 event_gap_ms = 0              // longest pause between its events that its caller accepts; 0 if unknown
+  7: i32 event_gap_ms = 0              // longest gap between events that the caller accepts; 0 if unknown
 }
 
 struct SiteFollowRequest {
   1: EntryRecord entry,
   2: i64 incarnation,
-  3: i64 term = 0,                     // of the reply that the revisions below come from
+  3: i64 term = 0,                     // term of the reply that the following revisions are from
   4: i64 document_version = 0,
   5: i64 backends_revision = 0,
   6: i64 entries_revision = 0,
   7: i32 wait_ms = 0,
-  8: map<string, double> spent,        // tokens by workspace since the entry VM's start
+  8: map<string, double> spent,        // tokens by workspace since the start of the entry VM
   9: list<BackendUse> uses,
   10: list<HeldPlace> places,
-  11: bool spent_whole = false,        // otherwise workspaces whose totals have not changed are left out
-  12: map<string, double> levels,      // as last learned from a leader, with a whole report
+  11: bool spent_whole = false,        // false: `spent` omits workspaces whose totals have not changed
+  12: map<string, double> levels,      // latest levels from a leader, sent if `spent_whole`
   13: double levels_age_s = 0,
-  14: map<string, double> uncounted    // spent or granted since `levels`, with a whole report
+  14: map<string, double> uncounted    // spent or granted since `levels`, sent if `spent_whole`
 }
 
-// Lists are left out when the follower has their revision already.
+// Lists are omitted if the follower already has their revision.
 struct SiteFollowReply {
   1: i64 term,
   2: i64 document_version,
@@ -467,19 +455,19 @@
   5: list<BackendRecord> backends,
   6: i64 entries_revision,
   7: list<EntryRecord> entries,
-  8: bool backends_complete = false,   // false while a new leader still collects announcements
+  8: bool backends_complete = false,   // false while a new leader is still collecting announcements
   9: bool entries_complete = false,
-  10: map<string, double> available,   // tokens by workspace, after what the request reported
-  11: list<BackendUse> uses,           // load by the other entry VMs
+  10: map<string, double> available,   // tokens by workspace, after deducting what the request reported
+  11: list<BackendUse> uses,           // load of the other entry VMs
   12: list<string> control,            // RPC addresses of the control group
-  13: list<PutDeparture> departures,   // sent together with the backends
-  14: bool counted = true              // false: the leader does not know the entry VM's totals and wants all of them
+  13: list<PutDeparture> departures,   // sent together with `backends`
+  14: bool counted = true              // false: the leader lacks the totals of the entry VM and requests a whole report
 }
 
-// How fast an engine was: seconds for `units` tokens or events.
+// Measured speed of an engine: `took_s` seconds for `units` tokens or events.
 struct EngineSpeed { 1: string id, 2: double took_s, 3: i64 units }
 
-// Asks for places on engines. Requests that have missed their objective wait behind the others.
+// Requests places on engines. Requests that have missed their latency objective are queued behind the others.
 struct PlaceRequest {
   1: string vm,
   2: i64 incarnation,
@@ -489,38 +477,39 @@
   6: i64 prompt_tokens,
   7: i64 memory_tokens,
   8: i32 wait_ms,
-  9: i32 late_in_ms = 0,               // time until the objective is missed, if this is the caller's first try
-  10: bool prefill = true,             // whether a prefill engine is wanted too
-  11: list<string> avoid,              // backend servers that this VM has seen fail
-  12: i32 patience_ms = 0,             // longest wait in all that the caller is expected to accept
-  13: i64 content = 0,                 // hash of the content, by which a caller that comes back is recognised
-  14: list<EngineSpeed> prefills,      // speeds of prefill engines that the VM has seen since its last call
-  15: bool continued = false,          // whether the request had a place before, on an engine that failed it
-  16: i32 event_gap_ms = 0             // longest pause between events that its caller accepts; 0 if unknown
-}
-
-// Engines by id; both are empty when none had room in time. `wait_ms` is when room is expected. A `refused` request
-// has lost its turn.
+  9: i32 late_in_ms = 0,               // time until the objective is missed, if this is the caller's first attempt
+  10: bool prefill = true,             // whether a prefill engine is needed as well
+  11: list<string> avoid,              // backend servers that have failed for this VM
+  12: i32 patience_ms = 0,             // longest total wait that the caller is expected to accept
+  13: i64 content = 0,                 // hash of the content, which identifies a repeated request of a caller
+  14: list<EngineSpeed> prefills,      // speeds of prefill engines measured by the VM since its last call
+  15: bool continued = false,          // whether the request had a place before, on an engine that failed
+  16: i32 event_gap_ms = 0             // longest gap between events that the caller accepts; 0 if unknown
+}
+
+// IDs of the engines, empty if none had capacity in time. `wait_ms` is the time until capacity is expected. A `refused`
+// request has lost its position in the queue.
 struct PlaceReply { 1: i64 place = 0, 2: string prefill = "", 3: string decode = "", 4: i32 wait_ms = 0, 5: bool refused = false }
 
-// `speeds` are of the decode engine. `unresponsive` names engines that took no connection or read a prompt for too long.
+// `speeds` are those of the decode engine. `unresponsive` lists engines that did not accept a connection or took too
+// long to read a prompt.
 struct FreePlace {
   1: string vm, 2: i64 incarnation, 3: i64 place, 4: list<EngineSpeed> speeds, 5: list<string> unresponsive
 }
 
 struct SiteDocument { 1: i64 version, 2: binary body }
 
-// A charge that an entry VM asks for before it admits a request.
+// Tokens that an entry VM asks to charge before it admits a request.
 struct TokenCharge { 1: string vm, 2: i64 incarnation, 3: string workspace, 4: double tokens }
 
 service Site {
   SiteFollowReply follow_site(1: SiteFollowRequest request) throws (1: Refused refused),
   void announce_backend(1: BackendRecord record) throws (1: Refused refused),
   void remove_backend(1: string id, 2: i64 started_ms) throws (1: Refused refused),
-  i64 put_document(1: SiteDocument document) throws (1: Refused refused),     // the version in force
+  i64 put_document(1: SiteDocument document) throws (1: Refused refused),     // returns the version that applies
   SiteDocument read_document() throws (1: Refused refused),
   PlaceReply place(1: PlaceRequest request) throws (1: Refused refused),
   void free_place(1: FreePlace freed) throws (1: Refused refused),
-  double charge_tokens(1: TokenCharge charge) throws (1: Refused refused),    // 0, or seconds until they are there
-  list<string> join(1: string member) throws (1: Refused refused)             // RPC addresses of the group
+  double charge_tokens(1: TokenCharge charge) throws (1: Refused refused),    // 0, or seconds until the tokens are available
+  list<string> join(1: string member) throws (1: Refused refused)             // returns the RPC addresses of the group
 }
--- a/libs/arbutusrill_wire/generate.py
+++ b/libs/arbutusrill_wire/generate.py
@@ -1,4 +1,4 @@
-"""Writes the specification of the thrift messages; to be run after a change of the IDL."""
+"""Generates the JSON specification of the thrift messages; run it after each change of the IDL."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def generate() -> str:
-    """Returns the specification of the IDL file beside this module."""
+    """Returns the JSON specification of the IDL file."""
     return describe(thriftpy2.load(str(_IDL), module_name="arbutusrill_idl_thrift"))
 
 
 def main() -> None:
-    """Writes the specification beside the IDL file."""
+    """Writes the JSON specification next to the IDL file."""
     _IDL.with_suffix(".json").write_text(generate(), encoding="utf-8")
 
 
--- a/libs/arbutusrill_wire/tests/test_idl.py
+++ b/libs/arbutusrill_wire/tests/test_idl.py
@@ -1,4 +1,4 @@
-"""Guards against a compiled writer that differs from the protocol as the plain reader and writer know it."""
+"""Tests that the compiled writer produces the same bytes as the pure Python implementation."""
 
 import pytest
 from thriftpy2.utils import serialize
@@ -23,13 +23,13 @@
 
 
 @pytest.mark.parametrize("message", SAMPLES)
-def test_compiled_writer_writes_the_same_bytes(message):
+def test_compiled_writer_matches_python_writer(message):
     assert encode(message) == serialize(message)
     assert decode(type(message), encode(message)) == message
 
 
 @pytest.mark.parametrize("value", ["text", 2**31])
-def test_value_that_does_not_fit_its_field_is_refused(value):
+def test_value_of_wrong_type_or_size_is_rejected(value):
     with pytest.raises(Exception):  # noqa: B017
         encode(messages.Announcement(slots=value))
     assert decode(messages.Announcement, encode(messages.Announcement(slots=1))).slots == 1
--- a/libs/arbutusrill_wire/tests/test_rpc.py
+++ b/libs/arbutusrill_wire/tests/test_rpc.py
@@ -1,4 +1,4 @@
-"""Guards against crossed, unbounded or endless remote calls."""
+"""Tests that calls get their own reply, respect their deadline and cannot send oversized frames."""
 
 import socket
 import threading
@@ -16,8 +16,8 @@
     def __getattr__(self, name):
         return lambda *_: None
 
-    def propose(self, made):
-        return messages.Outcome(True, made.at_ms)
+    def propose(self, command):
+        return messages.Outcome(True, command.at_ms)
 
     def follow(self, request):
         raise messages.Refused("not_leader", "ask another", leader="127.0.0.1:9")
@@ -38,18 +38,18 @@
         handler.release.set()
 
 
-def test_result_comes_back(client):
+def test_call_returns_the_result(client):
     outcome = client.call(messages.Control, "propose", messages.Command("r", "a", 7), timeout=2)
     assert outcome.revision == 7
 
 
-def test_declared_exception_comes_back(client):
+def test_call_raises_the_declared_exception(client):
     with pytest.raises(messages.Refused) as caught:
         client.call(messages.Control, "follow", messages.FollowRequest(), timeout=2)
     assert caught.value.leader == "127.0.0.1:9"
 
 
-def test_call_ends_at_its_deadline(client):
+def test_call_fails_at_its_deadline(client):
     started = time.monotonic()
     with pytest.raises(RpcError):
         client.call(messages.Control, "open_pool", "a", "model", timeout=0.2)
@@ -71,7 +71,7 @@
         assert raw.recv(1) == b""
 
 
-def test_service_that_is_added_later_is_served_by_the_same_server(handler):
+def test_service_added_later_is_served(handler):
     with RpcServer("127.0.0.1", 0, {}) as server, RpcClient(server.address) as client:
         with pytest.raises(RpcError, match="unknown method"):
             client.call(messages.Control, "propose", messages.Command("r-1", at_ms=5), timeout=2.0)
@@ -79,11 +79,11 @@
         assert client.call(messages.Control, "propose", messages.Command("r-1", at_ms=5), timeout=2.0).revision == 5
 
 
-def test_calls_are_told_with_their_outcome(handler):
-    told = []
+def test_on_call_reports_method_and_outcome(handler):
+    calls = []
     with RpcServer("127.0.0.1", 0, {messages.Control: handler}) as server, RpcClient(server.address) as client:
-        server.on_call = lambda method, outcome, took_s: told.append((method, outcome))
+        server.on_call = lambda method, outcome, took_s: calls.append((method, outcome))
         client.call(messages.Control, "propose", messages.Command("r-1"), timeout=2.0)
         with pytest.raises(messages.Refused):
             client.call(messages.Control, "follow", messages.FollowRequest("vm"), timeout=2.0)
-    assert told == [("propose", "ok"), ("follow", "refused")]
+    assert calls == [("propose", "ok"), ("follow", "refused")]
--- a/libs/arbutusrill_wire/tests/test_specs.py
+++ b/libs/arbutusrill_wire/tests/test_specs.py
@@ -1,4 +1,4 @@
-"""Guards against messages that differ from the IDL."""
+"""Tests that the message classes match the IDL."""
 
 from pathlib import Path
 
@@ -16,11 +16,11 @@
     return spec, payload.default_spec
 
 
-def test_committed_specification_is_that_of_the_idl():
+def test_committed_specification_matches_the_idl():
     assert IDL.with_suffix(".json").read_text(encoding="utf-8") == generate()
 
 
-def test_classes_are_those_that_thriftpy2_makes():
+def test_classes_match_those_of_thriftpy2():
     loaded = thriftpy2.load(str(IDL), module_name="arbutusrill_idl_test_thrift").__thrift_meta__
     for payload in loaded["structs"] + loaded["exceptions"]:
         assert fields(getattr(messages, payload.__name__)) == fields(payload)
