--- a/libs/arbutusrill_http/_server.py
+++ b/libs/arbutusrill_http/_server.py
@@ -24,7 +24,7 @@
 _MAX_LINGERING = 256  # rejected connections kept open until their caller has read the response
 _LINGER_S = 1.0
 _IDLE_EVICTION_FRACTION = 0.9  # of the connection limit, from which a new connection evicts an idle one
-_MIN_IDLE_S = 0.2  # not evicted before: the next request is probably under way
+_MIN_IDLE_S = 0.2  # younger idle connections are not evicted: their next request is probably in flight
 _log = PartLog("http")
 
 
@@ -136,7 +136,7 @@
     def _reject_connection(self, connection: socket.socket) -> None:
         """Sends a 503 without blocking.
 
-        The close is delayed: it would reset the connection before the caller has read the response.
+        The close is delayed, since an immediate one could reset the connection before the caller reads the response.
         """
         try:
             connection.setblocking(False)
@@ -220,7 +220,7 @@
         """Changes the limits for later requests; the number of threads and the send timeout stay unchanged."""
         self._server.limits = limits
 
-    def end_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Closes the connections that wait for a request; new ones are still accepted."""
         self._server.close_idle_connections()
 
--- a/libs/arbutusrill_http/tests/test_server.py
+++ b/libs/arbutusrill_http/tests/test_server.py
@@ -83,10 +83,12 @@
 def test_connections_above_the_limit_get_503_immediately(server, app):
     held = occupy(server, app, LIMITS.connections)
     started = time.monotonic()
-    answers = [exchange(server, get("/x")) for _ in range(10)]
+    responses = [exchange(server, get("/x")) for _ in range(10)]
     assert time.monotonic() - started < 3
-    for answer in answers:
-        assert answer.startswith(b"HTTP/1.1 503 ") and b'"verdict": "not_run"' in answer and b"Retry-After" in answer
+    for response in responses:
+        assert (
+            response.startswith(b"HTTP/1.1 503 ") and b'"verdict": "not_run"' in response and b"Retry-After" in response
+        )
     app.release.set()
     assert all(connection.makefile("rb").read().endswith(b"whole") for connection in held)
 
@@ -114,11 +116,11 @@
         connection.sendall(b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
         connection.recv(1000)
     time.sleep(0.3)
-    answers = []
+    responses = []
     for _ in range(20):
-        answers.append(exchange(server, get("/x")))
+        responses.append(exchange(server, get("/x")))
         time.sleep(0.02)
-    assert any(answer.endswith(b"whole") for answer in answers)
+    assert any(response.endswith(b"whole") for response in responses)
     for connection in idle:
         connection.close()
 
@@ -128,8 +130,8 @@
 )
 def test_slow_request_times_out(server, start):
     started = time.monotonic()
-    answer = exchange(server, start)
-    assert b" 408 " in answer and b'"verdict": "not_run"' in answer
+    response = exchange(server, start)
+    assert b" 408 " in response and b'"verdict": "not_run"' in response
     assert time.monotonic() - started < 5
 
 
@@ -152,9 +154,9 @@
     ],
 )
 def test_ambiguous_request_is_rejected(server, app, headers, status, param):
-    answer = exchange(server, b"POST /x HTTP/1.1\r\nHost: x\r\n" + headers.encode() + b"\r\nX")
-    assert answer.startswith(f"HTTP/1.1 {status} ".encode()), answer[:100]
-    error = json.loads(answer.partition(b"\r\n\r\n")[2])["error"]
+    response = exchange(server, b"POST /x HTTP/1.1\r\nHost: x\r\n" + headers.encode() + b"\r\nX")
+    assert response.startswith(f"HTTP/1.1 {status} ".encode()), response[:100]
+    error = json.loads(response.partition(b"\r\n\r\n")[2])["error"]
     assert (error["verdict"], error["param"]) == ("not_run", param)
     assert not app.bodies
 
@@ -164,8 +166,8 @@
     [(b"zz\r\nab\r\n", 400), (b"-1\r\nab\r\n", 400), (b"7d0\r\n" + b"x" * 2000 + b"\r\n0\r\n\r\n", 413)],
 )
 def test_malformed_chunks_are_rejected(server, app, chunks, status):
-    answer = exchange(server, b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks)
-    assert f" {status} ".encode() in answer[:20]
+    response = exchange(server, b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks)
+    assert f" {status} ".encode() in response[:20]
     assert not app.bodies
 
 
@@ -188,8 +190,8 @@
     "line", [b"GET\r\n\r\n", b"GET / HTTP/9.9\r\n\r\n", b"\x16\x03\x01\r\n\r\n", b"GET /" + b"a" * 3000 + b"\r\n"]
 )
 def test_malformed_request_line_gets_a_json_error(server, line):
-    answer = exchange(server, line)
-    assert b'"verdict": "not_run"' in answer
+    response = exchange(server, line)
+    assert b'"verdict": "not_run"' in response
 
 
 def test_aborted_stream_does_not_look_complete(server):
@@ -203,8 +205,8 @@
 
 def test_head_has_no_body_and_http_1_0_body_ends_with_the_connection(server):
     assert exchange(server, b"HEAD /stream HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").endswith(b"\r\n\r\n")
-    answer = exchange(server, b"GET /stream HTTP/1.0\r\n\r\n")
-    assert b"chunked" not in answer and answer.endswith(b"somemore")
+    response = exchange(server, b"GET /stream HTTP/1.0\r\n\r\n")
+    assert b"chunked" not in response and response.endswith(b"somemore")
 
 
 def test_keep_alive_connection_serves_several_requests(server):
