--- a/libs/arbutusrill_pool/__init__.py
+++ b/libs/arbutusrill_pool/__init__.py
@@ -1,7 +1,7 @@
-"""Pools of backend servers: their owner, its slots and its queue."""
+"""Request queue, admission control and placement for pools of backend servers."""
 
 from ._directory import PoolDirectory
-from ._engines import EngineCalls, EngineRequest, EngineWork, HttpEngineCalls, OrderAnswer
+from ._engine_calls import EngineCallQueue, EngineClient, EngineRequest, HttpEngineClient, OrderAnswer
 from ._orders import OrderRunner
 from ._owner import PoolOwner
 from ._policy import POLICIES, PlacementPolicy, PlacementRequest, policy_named
@@ -9,10 +9,10 @@
 
 __all__ = [
     "POLICIES",
-    "EngineCalls",
+    "EngineClient",
     "EngineRequest",
-    "EngineWork",
-    "HttpEngineCalls",
+    "EngineCallQueue",
+    "HttpEngineClient",
     "OrderAnswer",
     "OrderRunner",
     "Placement",
--- a/libs/arbutusrill_pool/_engines.py
+++ b/libs/arbutusrill_pool/_engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a pool's owner to the engines, run in the background and repeated until they are acknowledged."""
+"""Calls to engines: HTTP client and background queue with retries."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from arbutusrill_base import Clock, PartLog
 from arbutusrill_http import Transfer, TransferResult, fetch
 
-__all__ = ["EngineCalls", "EngineRequest", "EngineWork", "HttpEngineCalls", "OrderAnswer"]
+__all__ = ["EngineClient", "EngineRequest", "EngineCallQueue", "HttpEngineClient", "OrderAnswer"]
 
-CALL_S = 0.5  # within the 2 s for freeing capacity there is time for three tries
-LONGEST_ORDER_S = 10.0  # an order that takes longer is asked for again under the same id
-REPEAT_S = 0.2
-GIVE_UP_S = 10.0  # an engine that has answered nothing for this long holds no request any more
-READ_TRIES = 3
+CALL_TIMEOUT_S = 0.5  # allows three tries within the 2 s in which capacity must be freed
+ORDER_TIMEOUT_S = 10.0  # an order that takes longer is retried under the same id
+RETRY_INTERVAL_S = 0.2
+CANCEL_TIMEOUT_S = 10.0  # an engine that has not responded for this long no longer holds the request
+MAX_READ_TRIES = 3
 _HEADERS = ["Content-Type: application/json"]
 _log = PartLog("pool engines")
 
 
 @dataclass(slots=True, frozen=True)
 class EngineRequest:
-    """A request that an engine holds memory for, with the entry VM that sent it."""
+    """A request in an engine's memory and the incarnation of the entry VM that sent it."""
 
     request_id: str
     vm: str
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderAnswer:
-    """Answer to an order. `status` is the HTTP status, 0 without any answer."""
+    """Response to an order. `status` is the HTTP status, 0 without a response."""
 
     status: int
     detail: str = ""
 
 
-class EngineCalls(abc.ABC):
-    """The calls that a pool's owner makes to engines. `address` is ``http://IP:port``."""
+class EngineClient(abc.ABC):
+    """Interface for calls to engines. `address` is ``http://IP:port``."""
 
     @abc.abstractmethod
     def cancel(self, address: str, request_id: str) -> bool:
@@ -49,36 +49,36 @@
 
     @abc.abstractmethod
     def requests(self, address: str) -> list[EngineRequest] | None:
-        """Returns the requests that the engine holds, or None without an answer."""
+        """Returns the requests that the engine holds, or None without a valid response."""
 
     @abc.abstractmethod
     def order(self, address: str, order: dict[str, Any]) -> OrderAnswer:
-        """Gives the engine an order."""
+        """Sends an order to the engine."""
 
 
-class HttpEngineCalls(EngineCalls):
-    """The engine interface over HTTP. Each call has a connection of its own, since a kept one may have gone silent."""
+class HttpEngineClient(EngineClient):
+    """Engine calls over HTTP. Each call opens a new connection, since a pooled one may be dead without notice."""
 
     def cancel(self, address: str, request_id: str) -> bool:
         """Calls ``POST /engine/cancel``."""
-        result = self._post(address, "/engine/cancel", {"request_id": request_id}, CALL_S)
+        result = self._post(address, "/engine/cancel", {"request_id": request_id}, CALL_TIMEOUT_S)
         return result.whole and result.status in (200, 404)
 
     def requests(self, address: str) -> list[EngineRequest] | None:
         """Calls ``GET /engine/requests``."""
-        result = fetch(Transfer("GET", address + "/engine/requests", timeout_s=CALL_S, fresh=True))
+        result = fetch(Transfer("GET", address + "/engine/requests", timeout_s=CALL_TIMEOUT_S, fresh=True))
         if not result.whole or result.status != 200:
             return None
         try:
             rows = json.loads(result.body)["requests"]
             return [EngineRequest(str(row["request_id"]), str(row["vm"]), int(row["incarnation"])) for row in rows]
         except (ValueError, KeyError, TypeError) as error:
-            _log.warning("%s answered no list of requests: %r", address, error)
+            _log.warning("engine at %s returned no valid list of requests: %r", address, error)
             return None
 
     def order(self, address: str, order: dict[str, Any]) -> OrderAnswer:
         """Calls ``POST /engine/orders``."""
-        result = self._post(address, "/engine/orders", order, LONGEST_ORDER_S)
+        result = self._post(address, "/engine/orders", order, ORDER_TIMEOUT_S)
         if not result.whole:
             return OrderAnswer(0, result.detail)
         return OrderAnswer(result.status, result.body[:200].decode("utf-8", "replace"))
@@ -91,50 +91,54 @@
 
 @dataclass(slots=True)
 class _Job:
-    run: Callable[[], Any]  # returns None to be repeated
-    done: list[Callable[[Any], None]]
-    give_up_at: float
+    run: Callable[[], Any]  # returns None if it must be retried
+    on_done: list[Callable[[Any], None]]
+    deadline: float
     due_at: float = 0.0
     running: bool = False
 
 
 @dataclass(slots=True)
-class EngineWork:
-    """Background calls to engines. `submit` starts a function on another thread.
+class EngineCallQueue:
+    """Background calls to engines with retries. `submit` starts a function on another thread, or returns None.
 
-    Nothing is called while a method runs, so that an owner may use it under its own lock; `tick` starts what
-    is due.
+    Calls with the same key share one job. `cancel` and `read_requests` only enqueue, so they may be called under the
+    owner's lock; `tick` starts the calls that are due.
     """
 
-    calls: EngineCalls
+    client: EngineClient
     clock: Clock
     submit: Callable[[Callable[[], None]], Any]
     _lock: threading.Lock = field(default_factory=threading.Lock)
     _job_by_key: dict[tuple[str, str, str], _Job] = field(default_factory=dict)
 
-    def cancel(self, address: str, request_id: str, done: Callable[[bool], None]) -> None:
-        """Cancels a request until the engine acknowledges it; `done` gets False when it never did."""
+    def cancel(self, address: str, request_id: str, on_done: Callable[[bool], None]) -> None:
+        """Cancels a request, with retries for `CANCEL_TIMEOUT_S`; `on_done` gets whether the engine acknowledged."""
         self._add(
             ("cancel", address, request_id),
-            lambda: self.calls.cancel(address, request_id) or None,
-            lambda answer: done(bool(answer)),
-            GIVE_UP_S,
+            lambda: self.client.cancel(address, request_id) or None,
+            lambda answer: on_done(bool(answer)),
+            CANCEL_TIMEOUT_S,
         )
 
-    def read_requests(self, address: str, done: Callable[[list[EngineRequest] | None], None]) -> None:
-        """Reads the requests of an engine; `done` gets None when it did not answer in a few tries."""
-        self._add(("requests", address, ""), lambda: self.calls.requests(address), done, READ_TRIES * REPEAT_S)
+    def read_requests(self, address: str, on_done: Callable[[list[EngineRequest] | None], None]) -> None:
+        """Reads the requests of an engine with retries; `on_done` gets None if all tries failed."""
+        self._add(
+            ("requests", address, ""), lambda: self.client.requests(address), on_done, MAX_READ_TRIES * RETRY_INTERVAL_S
+        )
 
-    def _add(self, key: tuple[str, str, str], run: Callable[[], Any], done: Callable[[Any], None], span: float) -> None:
+    def _add(
+        self, key: tuple[str, str, str], run: Callable[[], Any], on_done: Callable[[Any], None], retry_for_s: float
+    ) -> None:
         with self._lock:
             job = self._job_by_key.get(key)
             if job is None:
-                self._job_by_key[key] = _Job(run, [done], self.clock.monotonic() + span)
+                self._job_by_key[key] = _Job(run, [on_done], self.clock.monotonic() + retry_for_s)
             else:
-                job.done.append(done)
+                job.on_done.append(on_done)
 
     def pending(self) -> int:
-        """Returns the number of calls that are not finished."""
+        """Returns the number of unfinished calls."""
         with self._lock:
             return len(self._job_by_key)
 
@@ -147,7 +151,7 @@
                 job.running = True
         for key, job in due:
             if self.submit(lambda key=key, job=job: self._run(key, job)) is None:
-                job.running = False  # all threads are taken; the next tick tries again
+                job.running = False  # not accepted by `submit`; the next tick tries again
 
     def _run(self, key: tuple[str, str, str], job: _Job) -> None:
         answer = None
@@ -155,12 +159,12 @@
             answer = job.run()
         finally:
             now = self.clock.monotonic()
-            finished = answer is not None or now >= job.give_up_at
+            finished = answer is not None or now >= job.deadline
             with self._lock:
                 job.running = False
-                job.due_at = now + REPEAT_S
+                job.due_at = now + RETRY_INTERVAL_S
                 if finished:
                     del self._job_by_key[key]
         if finished:
-            for done in job.done:
-                done(answer)
+            for on_done in job.on_done:
+                on_done(answer)
--- a/libs/arbutusrill_pool/_index.py
+++ b/libs/arbutusrill_pool/_index.py
@@ -1,4 +1,4 @@
-"""Index of a pool's servers by stage and data centre, with random choice in constant time."""
+"""Index of a pool's servers by stage and data centre, with random sampling in constant time."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 STAGES = ("prefill", "decode", "plain")
 
 
-class _RandomSet:
-    """A set with a random member in constant time."""
+class _SampledSet:
+    """A set of servers whose `members` list allows random sampling in constant time."""
 
     __slots__ = ("members", "_position_by_id")
 
@@ -26,12 +26,12 @@
     def __contains__(self, server: Server) -> bool:
         return server.id in self._position_by_id
 
-    def put(self, server: Server, wanted: bool) -> None:
+    def set_present(self, server: Server, present: bool) -> None:
         position = self._position_by_id.get(server.id)
-        if wanted and position is None:
+        if present and position is None:
             self._position_by_id[server.id] = len(self.members)
             self.members.append(server)
-        elif not wanted and position is not None:
+        elif not present and position is not None:
             del self._position_by_id[server.id]
             last = self.members.pop()
             if last is not server:
@@ -40,45 +40,49 @@
 
 
 class _Stage:
-    """Servers of one stage, with the totals that predictions need."""
+    """Servers of one stage: `ready` for assignments, and `open`, which also have room.
 
-    __slots__ = ("ready", "open", "open_by_data_centre", "slots", "free", "idle", "_share_by_id")
+    `slots` and `free` are totals over the ready servers, `idle` is the number of those without a queued prefill.
+    """
+
+    __slots__ = ("ready", "open", "open_by_data_centre", "slots", "free", "idle", "_counts_by_id")
 
     def __init__(self) -> None:
-        self.ready = _RandomSet()
-        self.open = _RandomSet()
-        self.open_by_data_centre: dict[str, _RandomSet] = {}
+        self.ready = _SampledSet()
+        self.open = _SampledSet()
+        self.open_by_data_centre: dict[str, _SampledSet] = {}
         self.slots = self.free = self.idle = 0
-        self._share_by_id: dict[str, tuple[int, int, int]] = {}
+        self._counts_by_id: dict[str, tuple[int, int, int]] = {}
 
-    def put(self, server: Server, ready: bool, capacity: int, is_open: bool) -> None:
-        self.ready.put(server, ready)
-        self.open.put(server, is_open)
+    def update(self, server: Server, ready: bool, capacity: int, is_open: bool) -> None:
+        self.ready.set_present(server, ready)
+        self.open.set_present(server, is_open)
         data_centre = server.announcement.data_centre
         if data_centre not in self.open_by_data_centre:
-            self.open_by_data_centre[data_centre] = _RandomSet()
-        self.open_by_data_centre[data_centre].put(server, is_open)
-        before = self._share_by_id.get(server.id, (0, 0, 0))
+            self.open_by_data_centre[data_centre] = _SampledSet()
+        self.open_by_data_centre[data_centre].set_present(server, is_open)
+        before = self._counts_by_id.get(server.id, (0, 0, 0))
         free = max(0, capacity - server.assigned)
-        share = (capacity, free, int(not server.prefill_s_by_ticket)) if ready else (0, 0, 0)
-        self._share_by_id[server.id] = share
-        self.slots += share[0] - before[0]
-        self.free += share[1] - before[1]
-        self.idle += share[2] - before[2]
+        counts = (capacity, free, int(not server.prefill_s_by_ticket)) if ready else (0, 0, 0)
+        self._counts_by_id[server.id] = counts
+        self.slots += counts[0] - before[0]
+        self.free += counts[1] - before[1]
+        self.idle += counts[2] - before[2]
 
     def drop(self, server: Server) -> None:
-        self.put(server, False, 0, False)
-        del self._share_by_id[server.id]
+        self.update(server, False, 0, False)
+        del self._counts_by_id[server.id]
 
 
 class ServerIndex:
-    """Servers by id, and for each stage which of them are ready and which have room.
+    """Servers by ID, and the ready and open servers of each stage.
 
-    `update` must be called after each change of a server. `gap_target_s` limits the streams of a server.
+    `update` must be called after each change of a server. `gap_target_s` is the target for the time between tokens, by
+    which the number of streams on a server is limited.
     """
 
     def __init__(self, seed: int, gap_target_s: float):
-        self.by_id: OrderedDict[str, Server] = OrderedDict()  # those heard longest ago first
+        self.by_id: OrderedDict[str, Server] = OrderedDict()  # least recently announced first
         self.gap_target_s = gap_target_s
         self._random = random.Random(seed)
         self._stage_by_name = {name: _Stage() for name in STAGES}
@@ -86,54 +90,54 @@
     def __iter__(self) -> Iterator[Server]:
         return iter(self.by_id.values())
 
-    def heard(self, server: Server) -> None:
-        """Notes that a server has just announced itself."""
+    def record_announcement(self, server: Server) -> None:
+        """Moves a server to the end of the order of announcements."""
         self.by_id[server.id] = server
         self.by_id.move_to_end(server.id)
 
-    def quiet(self, before: float) -> list[Server]:
-        """Returns the servers last heard at `before` or earlier."""
-        return list(itertools.takewhile(lambda server: server.heard_at <= before, self.by_id.values()))
+    def silent_since(self, before: float) -> list[Server]:
+        """Returns the servers whose last announcement was at `before` or earlier."""
+        return list(itertools.takewhile(lambda server: server.announced_at <= before, self.by_id.values()))
 
     def stage(self, name: str) -> _Stage:
-        """Returns the sets and totals of a stage: `ready`, `open`, `slots`, `free` and `idle`."""
+        """Returns the sets and totals of a stage."""
         return self._stage_by_name[name]
 
     def is_open(self, server: Server, stage: str) -> bool:
-        """Says whether a server has room for a request of a stage."""
+        """Returns whether a server is ready and has room for a request of a stage."""
         return server in self._stage_by_name[stage].open
 
     def update(self, server: Server, now: float) -> None:
-        """Brings the sets up to date after a change of `server`."""
+        """Updates the sets and totals after a change of `server`."""
         self.by_id[server.id] = server
-        ready = server.ready(now)
+        ready = server.is_ready(now)
         capacity = server.capacity(now, self.gap_target_s) if ready else 0
         room = ready and server.assigned < capacity
         for name, stage in self._stage_by_name.items():
             if server.serves(name):
-                is_open = room and (name != "prefill" or server.takes_prefill())
-                stage.put(server, ready, capacity, is_open)
+                is_open = room and (name != "prefill" or server.accepts_prefill())
+                stage.update(server, ready, capacity, is_open)
 
     def remove(self, server: Server) -> None:
-        """Forgets a server or the roles that it no longer has."""
+        """Removes a server; call with its old announcement before its role or data centre changes."""
         self.by_id.pop(server.id, None)
         for name, stage in self._stage_by_name.items():
             if server.serves(name):
                 stage.drop(server)
 
-    def sample(self, stage: str, data_centre: str, near: int, far: int) -> list[Server]:
-        """Returns up to `near` random servers with room in `data_centre` and `far` ones from anywhere."""
+    def sample(self, stage: str, data_centre: str, local_count: int, global_count: int) -> list[Server]:
+        """Returns up to `local_count` random open servers in `data_centre` and `global_count` from all data centres."""
         sets = self._stage_by_name[stage]
         local = sets.open_by_data_centre.get(data_centre)
-        chosen = {server.id: server for server in self._draw(local, near)} if local is not None else {}
-        wanted = far if chosen else near + far
-        chosen.update((server.id, server) for server in self._draw(sets.open, wanted))
+        chosen = {server.id: server for server in self._sample_members(local, local_count)} if local is not None else {}
+        count = global_count if chosen else local_count + global_count
+        chosen.update((server.id, server) for server in self._sample_members(sets.open, count))
         return list(chosen.values())
 
-    def _draw(self, servers: _RandomSet, count: int) -> list[Server]:
+    def _sample_members(self, servers: _SampledSet, count: int) -> list[Server]:
         members = servers.members
         if len(members) <= count:
             return members
-        pick = self._random.random
+        random_fraction = self._random.random
         size = len(members)
-        return [members[int(pick() * size)] for _ in range(count)]
+        return [members[int(random_fraction() * size)] for _ in range(count)]
--- a/libs/arbutusrill_pool/_orders.py
+++ b/libs/arbutusrill_pool/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the servers of a pool: load or unload something, or change the role."""
+"""Execution of operators' orders to the servers of a pool, such as to load a model or to change the role."""
 
 from __future__ import annotations
 
@@ -11,29 +11,32 @@
 from arbutusrill_base import CLOCK_DRIFT_S, VM_LEASE_S, Clock, PartLog
 from arbutusrill_wire import messages
 
-from ._engines import LONGEST_ORDER_S, EngineCalls, OrderAnswer
+from ._engine_calls import ORDER_TIMEOUT_S, EngineClient, OrderAnswer
 
 __all__ = ["OrderRunner", "OrderTarget"]
 
-FENCING_SHIFT = 20  # a fencing number is the pool's epoch x 2^20 + a sequence number
-TRIES = 10
-OWNER_ACTIONS = ("drain", "resume")  # carried out by the owner itself, the server is not told
-RETRY_S = 1.0
-GIVEN_STATES = ("released", "running")  # the control group releases orders as far as the weight store allows
+FENCING_SHIFT_BITS = 20  # fencing number = pool epoch x 2^20 + sequence number
+MAX_TRIES = 10
+OWNER_ACTIONS = ("drain", "resume")  # carried out by the pool's owner, not sent to the server
+RETRY_INTERVAL_S = 1.0
+ACTIVE_STATES = ("released", "running")  # the control group releases orders at the rate that the weight store can serve
 _log = PartLog("pool orders")
 
 
 class OrderTarget(Protocol):
-    """What an order's execution needs of the pool's owner."""
+    """Interface of the pool's owner to `OrderRunner`."""
 
     def server_address(self, server_id: str) -> tuple[str, bool] | None:
-        """Returns a server's address and whether it checks fencing numbers, or None while it is not heard."""
+        """Returns a server's address and whether it checks fencing numbers, or None if the server is silent."""
 
-    def hold_for_order(self, server_id: str, held: bool) -> bool:
-        """Keeps new work from a server while an order changes its role; returns whether it is empty."""
+    def hold_for_order(self, server_id: str, hold: bool) -> bool:
+        """Stops (`hold`) or resumes new assignments to a server, so that an order can change its role.
+
+        Returns whether the server has no requests.
+        """
 
     def set_drained(self, server_ids: frozenset[str]) -> None:
-        """Keeps new work from these servers, and from no others that were drained before."""
+        """Stops new assignments to exactly these servers; others drained before are resumed."""
 
 
 @dataclass(slots=True)
@@ -43,17 +46,17 @@
     tries: int = 0
     due_at: float = 0.0
     running: bool = False
-    result: tuple[str, str] | None = None  # final state and detail, once known
+    result: tuple[str, str] | None = None  # final state and detail
     reported: bool = False
 
 
 class OrderRunner:
     """Carries out the orders of one pool, one at a time for each server, in the order of their records.
 
-    `report` records a new state of an order (a `PutOrder`) in the configuration; it raises or returns False when it
-    could not. An order keeps its id, by which the engine recognises a repetition; a new owner repeats those that are
-    not finished with a higher fencing number. Owners before this one may have had an order under way when they lost
-    their lease, so that servers that do not check fencing get none before that is over.
+    `report` records a new state of an order (a `PutOrder`) in the configuration; it raises or returns False if that
+    fails. Orders are retried under the same id, which engines use to deduplicate them; a new owner retries unfinished
+    orders with a higher fencing number. An earlier owner may have had an order in flight when it lost its lease, so
+    servers that do not check fencing numbers get no order until that one must have ended.
     """
 
     def __init__(
@@ -61,7 +64,7 @@
         epoch: int,
         clock: Clock,
         target: OrderTarget,
-        calls: EngineCalls,
+        client: EngineClient,
         report: Callable[[Any], bool],
         submit: Callable[[Callable[[], None]], Any],
         holds_lease: Callable[[], bool],
@@ -69,25 +72,25 @@
         self._epoch = epoch
         self._clock = clock
         self._target = target
-        self._calls = calls
+        self._client = client
         self._report = report
         self._submit = submit
         self._holds_lease = holds_lease
         self._lock = threading.Lock()
         self._order_by_id: dict[str, _Order] = {}
         self._sequence = 0
-        delay = VM_LEASE_S + CLOCK_DRIFT_S + LONGEST_ORDER_S if epoch > 1 else 0.0
-        self._unfenced_from = clock.monotonic() + delay
+        delay = VM_LEASE_S + CLOCK_DRIFT_S + ORDER_TIMEOUT_S if epoch > 1 else 0.0
+        self._unfenced_allowed_at = clock.monotonic() + delay
 
     def reconcile(self, records: list[Any]) -> None:
-        """Takes the orders of this pool from the configuration."""
+        """Updates the drained servers and the active orders from the configuration."""
         self._target.set_drained(_drained(records))
         with self._lock:
-            open_ids = {record.id for record in records if record.state in GIVEN_STATES}
+            active_ids = {record.id for record in records if record.state in ACTIVE_STATES}
             for record in records:
-                if record.id in open_ids and record.id not in self._order_by_id:
+                if record.id in active_ids and record.id not in self._order_by_id:
                     self._order_by_id[record.id] = self._new(record)
-            for order_id in [known for known in self._order_by_id if known not in open_ids]:
+            for order_id in [known for known in self._order_by_id if known not in active_ids]:
                 if not self._order_by_id[order_id].running:
                     del self._order_by_id[order_id]
 
@@ -99,7 +102,7 @@
         return _Order(record, argument)
 
     def tick(self) -> None:
-        """Starts the orders that are due."""
+        """Starts the orders that are due and not blocked."""
         if not self._holds_lease():
             return
         now = self._clock.monotonic()
@@ -125,17 +128,17 @@
             return False
         if order.record.action == "set_role" and not self._target.hold_for_order(order.record.server, True):
             return False
-        return found[1] or now >= self._unfenced_from
+        return found[1] or now >= self._unfenced_allowed_at
 
     def _start(self, order: _Order) -> None:
         if order.tries == 0 and order.result is None:
             self._sequence += 1
-            assert self._sequence < 1 << FENCING_SHIFT, "an owner has used up the fencing numbers of its epoch"
+            assert self._sequence < 1 << FENCING_SHIFT_BITS, "the fencing sequence numbers of this epoch are exhausted"
             record = order.record
             order.record = messages.PutOrder(
                 record.id, record.server, record.pool, record.action, record.argument_json, "running"
             )
-            order.record.fencing = (self._epoch << FENCING_SHIFT) + self._sequence
+            order.record.fencing = (self._epoch << FENCING_SHIFT_BITS) + self._sequence
         if self._submit(lambda: self._run(order)) is None:
             order.running = False
 
@@ -144,17 +147,17 @@
             if order.result is None:
                 self._send(order)
             if order.result is not None:
-                order.reported = self._tell(order.record, *order.result)
+                order.reported = self._report_state(order.record, *order.result)
         finally:
             with self._lock:
                 order.running = False
-                order.due_at = self._clock.monotonic() + RETRY_S
+                order.due_at = self._clock.monotonic() + RETRY_INTERVAL_S
 
     def _send(self, order: _Order) -> None:
         record = order.record
         order.tries += 1
         if order.tries == 1:
-            self._tell(record, "running", "")
+            self._report_state(record, "running", "")
         if record.action in OWNER_ACTIONS:
             order.result = ("done", "")
             return
@@ -163,7 +166,7 @@
             order.tries -= 1
             return
         body = {"id": record.id, "action": record.action, "argument": order.argument, "fencing": record.fencing}
-        order.result = self._outcome(order, self._calls.order(found[0], body))
+        order.result = self._outcome(order, self._client.order(found[0], body))
         if order.result is not None and record.action == "set_role":
             self._target.hold_for_order(record.server, False)
 
@@ -171,30 +174,30 @@
         if answer.status == 200:
             return "done", answer.detail
         if answer.status == 409:
-            # A newer owner has given orders: this one is no longer to judge how the order ended.
-            _log.warning("order %s was refused for its fencing number", order.record.id)
+            # A newer owner has sent orders: only it may decide the outcome.
+            _log.warning("order %s rejected by its server: the fencing number is stale", order.record.id)
             return None
         if 400 <= answer.status < 500:
             return "failed", answer.detail
-        if order.tries >= TRIES:
-            return "failed", f"no usable answer in {TRIES} tries: {answer.detail or answer.status}"
+        if order.tries >= MAX_TRIES:
+            return "failed", f"no usable answer in {MAX_TRIES} tries: {answer.detail or answer.status}"
         return None
 
-    def _tell(self, record: Any, state: str, detail: str) -> bool:
-        told = messages.PutOrder(record.id, record.server, record.pool, record.action, record.argument_json, state)
-        told.fencing, told.detail = record.fencing, detail
+    def _report_state(self, record: Any, state: str, detail: str) -> bool:
+        update = messages.PutOrder(record.id, record.server, record.pool, record.action, record.argument_json, state)
+        update.fencing, update.detail = record.fencing, detail
         try:
-            return bool(self._report(told))
+            return bool(self._report(update))
         except Exception as error:
-            _log.warning("state %s of order %s not recorded yet: %r", state, record.id, error)
+            _log.warning("could not record state %s of order %s: %r", state, record.id, error)
             return False
 
 
 def _drained(records: list[Any]) -> frozenset[str]:
-    """Returns the servers whose last order to drain or resume, in the order of the records, is to drain."""
+    """Returns the servers whose last drain or resume order, by the order of the records, is a drain."""
     last_by_server = {
         record.server: record.action
         for record in records
-        if record.action in OWNER_ACTIONS and record.state in (*GIVEN_STATES, "done")
+        if record.action in OWNER_ACTIONS and record.state in (*ACTIVE_STATES, "done")
     }
     return frozenset(server for server, action in last_by_server.items() if action == "drain")
--- a/libs/arbutusrill_pool/_policy.py
+++ b/libs/arbutusrill_pool/_policy.py
@@ -1,4 +1,4 @@
-"""Placement policies: which servers a request gets."""
+"""Placement policies: choice of the servers for a request."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
 
 __all__ = ["POLICIES", "PlacementPolicy", "PlacementRequest", "policy_named"]
 
-NEAR_CHOICES = 4  # two choices give most of the gain of many; more cover differences in speed
-FAR_CHOICES = 2
-CACHE_CHOICES = 2
-FAR_PENALTY_S = 0.01  # a few times the delay between data centres
-LINK_BYTES_PER_S = 1e9  # of servers that announce no rate
-KV_BYTES_PER_TOKEN = 100_000  # of servers that announce none
-_SLOW_PENALTY_S = 100.0  # keeps servers that miss the token gap target last
+LOCAL_CANDIDATES = (
+    4  # two random choices balance load almost as well as many; more are needed as servers differ in speed
+)
+GLOBAL_CANDIDATES = 2
+CACHED_PREFIX_CANDIDATES = 2
+CROSS_DATA_CENTRE_PENALTY_S = 0.01  # a few times the network delay between data centres
+DEFAULT_LINK_BYTES_PER_S = 1e9  # if not announced
+DEFAULT_KV_BYTES_PER_TOKEN = 100_000  # if not announced
+_MISSED_GAP_PENALTY_S = 100.0  # ranks servers that miss the token gap target last
 
 
 @dataclass(slots=True)
 class PlacementRequest:
-    """What a policy needs to know of a request. `cached_by_server` counts prompt tokens."""
+    """Properties of a request that placement depends on. `cached_by_server` maps server IDs to cached prompt tokens."""
 
     prompt_tokens: int
     plain: bool
@@ -35,165 +37,173 @@
 
 
 class PlacementPolicy(abc.ABC):
-    """Chooses servers.
+    """Chooses the servers of a request.
 
-    With `reserves` the owner counts a decode slot as taken from the assignment on, admits by prediction and
-    keeps shares fair; without, it passes requests on in their order of arrival and counts nothing.
+    With `reserves` the owner takes a decode slot at the assignment, admits requests by their predicted first token and
+    schedules workspaces by fair shares. Without it, requests are assigned in their order of arrival and the slots of
+    servers are not a limit.
     """
 
     name = ""
     reserves = False
 
     @abc.abstractmethod
-    def place(self, wanted: PlacementRequest, index: ServerIndex, now: float) -> Placement | None:
-        """Returns servers for a request, or None when there is no room."""
+    def place(self, request: PlacementRequest, index: ServerIndex, now: float) -> Placement | None:
+        """Returns servers for a request, or None if none has room."""
 
 
 class _UnreservedPolicy(PlacementPolicy):
-    """Chooses the server of each stage on its own among the ready ones."""
+    """Chooses the server of each stage independently among the ready ones."""
 
-    def place(self, wanted: PlacementRequest, index: ServerIndex, now: float) -> Placement | None:
-        """Chooses by `pick` for each stage."""
-        if wanted.plain:
-            server = self.pick("plain", wanted, index, now)
+    def place(self, request: PlacementRequest, index: ServerIndex, now: float) -> Placement | None:
+        """Returns the servers that `choose_server` returns for each stage, or None if a stage has none."""
+        if request.plain:
+            server = self.choose_server("plain", request, index, now)
             return Placement(None, server) if server is not None else None
-        prefill = self.pick("prefill", wanted, index, now)
-        decode = self.pick("decode", wanted, index, now)
+        prefill = self.choose_server("prefill", request, index, now)
+        decode = self.choose_server("decode", request, index, now)
         if prefill is None or decode is None:
             return None
-        missed = wanted.prompt_tokens - wanted.cached_by_server.get(prefill.id, 0.0)
-        duration, wait = prefill.speed.prefill_s(missed), prefill.wait_s(now)
-        return Placement(prefill, decode, wait + duration, duration, wait, missed)
+        uncached_tokens = request.prompt_tokens - request.cached_by_server.get(prefill.id, 0.0)
+        duration, wait = prefill.speed.prefill_duration_s(uncached_tokens), prefill.prefill_wait_s(now)
+        return Placement(prefill, decode, wait + duration, duration, wait, uncached_tokens)
 
     @abc.abstractmethod
-    def pick(self, stage: str, wanted: PlacementRequest, index: ServerIndex, now: float) -> Server | None:
-        """Returns a ready server of a stage."""
+    def choose_server(self, stage: str, request: PlacementRequest, index: ServerIndex, now: float) -> Server | None:
+        """Returns a ready server of a stage, or None."""
 
 
-def _usable(stage: str, wanted: PlacementRequest, index: ServerIndex) -> list[Server]:
+def _ready_servers(stage: str, request: PlacementRequest, index: ServerIndex) -> list[Server]:
     ready = index.stage(stage).ready.members
-    if not wanted.avoid:
+    if not request.avoid:
         return ready
-    return [server for server in ready if server.id not in wanted.avoid] or ready
+    return [server for server in ready if server.id not in request.avoid] or ready
 
 
 class RoundRobin(_UnreservedPolicy):
-    """Each ready server in turn, whatever its load."""
+    """Chooses the ready servers in turn, regardless of load."""
 
     name = "round_robin"
 
     def __init__(self) -> None:
         self._turn_by_stage = {stage: itertools.count() for stage in ("prefill", "decode", "plain")}
 
-    def pick(self, stage: str, wanted: PlacementRequest, index: ServerIndex, now: float) -> Server | None:
+    def choose_server(self, stage: str, request: PlacementRequest, index: ServerIndex, now: float) -> Server | None:
         """Returns the next server in turn."""
-        servers = _usable(stage, wanted, index)
+        servers = _ready_servers(stage, request, index)
         return servers[next(self._turn_by_stage[stage]) % len(servers)] if servers else None
 
 
-def _reported(server: Server) -> float:
+def _reported_load(server: Server) -> float:
     report = server.announcement
     return (report.running + report.queued) / report.slots
 
 
 class LeastLoaded(_UnreservedPolicy):
-    """The ready server with the least load in its last report; waits while all report to be full."""
+    """Chooses the ready server with the least reported load; places nothing while all servers report to be full."""
 
     name = "least_loaded"
 
-    def pick(self, stage: str, wanted: PlacementRequest, index: ServerIndex, now: float) -> Server | None:
-        """Returns the server with the least reported load."""
-        best = min(_usable(stage, wanted, index), key=_reported, default=None)
-        return best if best is not None and _reported(best) < 1.0 else None
+    def choose_server(self, stage: str, request: PlacementRequest, index: ServerIndex, now: float) -> Server | None:
+        """Returns the server with the least reported load, or None if it is full."""
+        best = min(_ready_servers(stage, request, index), key=_reported_load, default=None)
+        return best if best is not None and _reported_load(best) < 1.0 else None
 
 
 class PrefillFirst(_UnreservedPolicy):
-    """The prefill server that is free first; the decode server only by its last report, without holding a slot."""
+    """Chooses the prefill server that would finish first, and the decode server with the least reported load."""
 
     name = "prefill_first"
 
-    def pick(self, stage: str, wanted: PlacementRequest, index: ServerIndex, now: float) -> Server | None:
-        """Returns the prefill server with the shortest queue, for other stages the least loaded server."""
-        servers = _usable(stage, wanted, index)
+    def choose_server(self, stage: str, request: PlacementRequest, index: ServerIndex, now: float) -> Server | None:
+        """Returns the prefill server that would finish first, for other stages the one with the least reported load."""
+        servers = _ready_servers(stage, request, index)
         if stage != "prefill":
-            return min(servers, key=_reported, default=None)
+            return min(servers, key=_reported_load, default=None)
 
         def finish(server: Server) -> float:
-            missed = wanted.prompt_tokens - wanted.cached_by_server.get(server.id, 0.0)
-            return server.wait_s(now) + server.speed.prefill_s(missed)
+            uncached_tokens = request.prompt_tokens - request.cached_by_server.get(server.id, 0.0)
+            return server.prefill_wait_s(now) + server.speed.prefill_duration_s(uncached_tokens)
 
         return min(servers, key=finish, default=None)
 
 
 class Reserving(PlacementPolicy):
-    """Chooses prefill and decode server together and holds the decode slot from before the prefill.
+    """Chooses prefill and decode server together and reserves the decode slot before the prefill starts.
 
-    Of a few random candidates of each stage and those that have the prompt's prefix cached, takes the pair with
-    the earliest predicted first token among those that keep the time between tokens within its target.
+    The candidates are a few random servers of each stage and the prefill servers that have the prompt's prefix cached.
+    The pair with the earliest predicted first token wins; decode servers that miss the token gap target come last.
     """
 
     name = "reserving"
     reserves = True
 
-    def place(self, wanted: PlacementRequest, index: ServerIndex, now: float) -> Placement | None:
-        """Returns the best pair of the sampled candidates."""
-        if wanted.plain:
-            found = self._candidates("plain", wanted, index, now)
-            best = min(found, key=lambda server: self._plain_score(server, wanted), default=None)
+    def place(self, request: PlacementRequest, index: ServerIndex, now: float) -> Placement | None:
+        """Returns the best pair of the candidates, or None if a stage has none with room."""
+        if request.plain:
+            found = self._candidates("plain", request, index, now)
+            best = min(found, key=lambda server: self._plain_score(server, request), default=None)
             return Placement(None, best) if best is not None else None
-        decodes = [self._decode_option(server, index) for server in self._candidates("decode", wanted, index, now)]
+        decodes = [self._decode_option(server, index) for server in self._candidates("decode", request, index, now)]
         if not decodes:
             return None
         best_score, best = float("inf"), None
-        for prefill in self._candidates("prefill", wanted, index, now):
-            missed = max(0.0, wanted.prompt_tokens - wanted.cached_by_server.get(prefill.id, 0.0))
-            wait, duration = prefill.wait_s(now), prefill.speed.prefill_s(missed)
-            far = 0.0 if prefill.announcement.data_centre == wanted.data_centre else FAR_PENALTY_S
+        for prefill in self._candidates("prefill", request, index, now):
+            uncached_tokens = max(0.0, request.prompt_tokens - request.cached_by_server.get(prefill.id, 0.0))
+            wait, duration = prefill.prefill_wait_s(now), prefill.speed.prefill_duration_s(uncached_tokens)
+            distance_penalty_s = (
+                0.0 if prefill.announcement.data_centre == request.data_centre else CROSS_DATA_CENTRE_PENALTY_S
+            )
             for decode, gap, penalty in decodes:
                 if decode is prefill and prefill.assigned + 1 > prefill.announcement.slots:
                     continue
-                first = wait + duration + _transfer_s(prefill, decode, wanted.prompt_tokens) + gap
-                apart = decode.announcement.data_centre != prefill.announcement.data_centre
-                score = first + far + penalty + (FAR_PENALTY_S if apart else 0.0)
+                first = wait + duration + _transfer_s(prefill, decode, request.prompt_tokens) + gap
+                crosses_data_centres = decode.announcement.data_centre != prefill.announcement.data_centre
+                score = (
+                    first
+                    + distance_penalty_s
+                    + penalty
+                    + (CROSS_DATA_CENTRE_PENALTY_S if crosses_data_centres else 0.0)
+                )
                 if score < best_score:
-                    best_score, best = score, Placement(prefill, decode, first, duration, wait, missed)
+                    best_score, best = score, Placement(prefill, decode, first, duration, wait, uncached_tokens)
         return best
 
-    def _candidates(self, stage: str, wanted: PlacementRequest, index: ServerIndex, now: float) -> list[Server]:
-        found = index.sample(stage, wanted.data_centre, NEAR_CHOICES, FAR_CHOICES)
-        if stage == "prefill" and wanted.cached_by_server:
+    def _candidates(self, stage: str, request: PlacementRequest, index: ServerIndex, now: float) -> list[Server]:
+        found = index.sample(stage, request.data_centre, LOCAL_CANDIDATES, GLOBAL_CANDIDATES)
+        if stage == "prefill" and request.cached_by_server:
             known = {server.id for server in found}
             found = list(found)
-            for name in itertools.islice(wanted.cached_by_server, CACHE_CHOICES):
+            for name in itertools.islice(request.cached_by_server, CACHED_PREFIX_CANDIDATES):
                 server = index.by_id.get(name)
                 if server is not None and name not in known and index.is_open(server, "prefill"):
                     found.append(server)
-        if not wanted.avoid:
+        if not request.avoid:
             return found
-        allowed = [server for server in found if server.id not in wanted.avoid]
+        allowed = [server for server in found if server.id not in request.avoid]
         if allowed or not found:
             return allowed
-        usable = _usable(stage, wanted, index)
+        usable = _ready_servers(stage, request, index)
         others = [server for server in usable if index.is_open(server, stage)]
-        return others[: NEAR_CHOICES + FAR_CHOICES]
+        return others[: LOCAL_CANDIDATES + GLOBAL_CANDIDATES]
 
     def _decode_option(self, server: Server, index: ServerIndex) -> tuple[Server, float, float]:
-        gap = server.speed.gap_s(server.assigned + server.foreign + 1)
-        late = gap > index.gap_target_s
-        # A shorter gap spares all streams of the batch; it weighs as much as ten tokens of this one.
-        return server, gap, 10 * gap + (_SLOW_PENALTY_S * gap / index.gap_target_s if late else 0.0)
+        gap = server.speed.token_gap_at(server.assigned + server.untracked + 1)
+        misses_target = gap > index.gap_target_s
+        # All streams of the batch gain from a shorter gap, so it counts like ten tokens of this stream.
+        return server, gap, 10 * gap + (_MISSED_GAP_PENALTY_S * gap / index.gap_target_s if misses_target else 0.0)
 
-    def _plain_score(self, server: Server, wanted: PlacementRequest) -> float:
-        far = 0.0 if server.announcement.data_centre == wanted.data_centre else 0.25
-        return (server.assigned + server.foreign) / server.announcement.slots + far
+    def _plain_score(self, server: Server, request: PlacementRequest) -> float:
+        distance_penalty_s = 0.0 if server.announcement.data_centre == request.data_centre else 0.25
+        return (server.assigned + server.untracked) / server.announcement.slots + distance_penalty_s
 
 
 def _transfer_s(prefill: Server, decode: Server, tokens: int) -> float:
     if prefill is decode:
         return 0.0
     source, target = prefill.announcement, decode.announcement
-    rate = min(source.link_bytes_per_s or LINK_BYTES_PER_S, target.link_bytes_per_s or LINK_BYTES_PER_S)
-    size = tokens * (source.kv_bytes_per_token or KV_BYTES_PER_TOKEN)
+    rate = min(source.link_bytes_per_s or DEFAULT_LINK_BYTES_PER_S, target.link_bytes_per_s or DEFAULT_LINK_BYTES_PER_S)
+    size = tokens * (source.kv_bytes_per_token or DEFAULT_KV_BYTES_PER_TOKEN)
     return size / rate
 
 
@@ -203,7 +213,7 @@
 
 
 def policy_named(name: Any) -> PlacementPolicy:
-    """Returns a new policy; an unknown name, as of a newer version, gives `reserving`.
+    """Returns a new policy. An unknown name, such as one of a newer version, gives `Reserving`.
 
     >>> policy_named("least_loaded").reserves
     False
--- a/libs/arbutusrill_pool/_server.py
+++ b/libs/arbutusrill_pool/_server.py
@@ -1,4 +1,4 @@
-"""One backend server as its pool's owner sees it: holders, prefill queue, learnt speed."""
+"""State of one backend server: assigned slots, prefill queue, health and estimated speed."""
 
 from __future__ import annotations
 
@@ -8,28 +8,32 @@
 
 from ._health import Health
 
-__all__ = ["SILENT_S", "Server", "Speed"]
+__all__ = ["ANNOUNCEMENT_TIMEOUT_S", "Server", "SpeedEstimate"]
 
-SILENT_S = 2.0  # four missed announcements; one or two get lost when an entry VM fails
-PREFILL_AHEAD_S = 0.05  # queued prefill work that hides the round trip to the caller's entry VM
-REPORT_LAG_S = 1.0  # a load report can be this old
+ANNOUNCEMENT_TIMEOUT_S = 2.0  # four announcement periods; one or two announcements are lost when an entry VM fails
+MAX_QUEUED_PREFILL_S = 0.05  # covers the round trip to the caller's entry VM
+MAX_REPORT_AGE_S = 1.0  # age that a load report can have
 DEFAULT_PREFILL_TOKENS_PER_S = 10_000.0
 DEFAULT_TOKEN_GAP_S = 0.02
 DEFAULT_BATCH_SLOWDOWN = 0.03
-_LEARNING_RATE = 0.2
-_RELAXING_RATE = 0.02  # of each announcement; half of what was learnt is gone after 17 s
-UNUSED_S = 10.0  # a server without a prefill for this long is known only by old measurements
-_LEARNT_PREFILL_S = 0.015  # three times the fixed part
-_FIXED_PREFILL_S = 0.005  # connection, parsing and answer of a prefill without any computing
+_SMOOTHING_FACTOR = 0.2
+_DECAY_FACTOR = 0.02  # per announcement, which gives a half-life of 17 s
+PREFILL_SPEED_STALE_S = 10.0  # after this long without a prefill the measurements are out of date
+_MIN_SAMPLE_PREFILL_S = 0.015  # three times the overhead
+_PREFILL_OVERHEAD_S = 0.005  # connection, parsing and response, without computation
 
 
-def _mix(old: float, seen: float) -> float:
-    return old + _LEARNING_RATE * (seen - old)
+def _smooth(old: float, measured: float) -> float:
+    return old + _SMOOTHING_FACTOR * (measured - old)
 
 
 @dataclass(slots=True)
-class Speed:
-    """Speed of a server: announced at first, then learnt from finished requests. Times are in seconds."""
+class SpeedEstimate:
+    """Estimated speed of a server: initially as announced, then smoothed over finished requests.
+
+    `token_gap_s` is the time between tokens of a single stream, which grows by the fraction `batch_slowdown` with each
+    further stream. `prefill_ratio` is the measured prefill time divided by the one that follows from the announcement.
+    """
 
     prefill_tokens_per_s: float
     token_gap_s: float
@@ -37,53 +41,53 @@
     prefill_ratio: float = 1.0
 
     @classmethod
-    def announced(cls, announcement: Any) -> Speed:
-        """Returns the speed that a server claims, with defaults for what it does not say."""
+    def from_announcement(cls, announcement: Any) -> SpeedEstimate:
+        """Returns the announced speed, with defaults for missing values."""
         return cls(
             announcement.prefill_tokens_per_s or DEFAULT_PREFILL_TOKENS_PER_S,
             announcement.token_gap_s or DEFAULT_TOKEN_GAP_S,
         )
 
-    def prefill_s(self, tokens: float) -> float:
-        """Returns the predicted duration of a prefill of that many tokens that are not cached."""
-        return _FIXED_PREFILL_S + self.prefill_ratio * tokens / self.prefill_tokens_per_s
+    def prefill_duration_s(self, tokens: float) -> float:
+        """Returns the predicted duration of a prefill of `tokens` uncached tokens."""
+        return _PREFILL_OVERHEAD_S + self.prefill_ratio * tokens / self.prefill_tokens_per_s
 
-    def gap_s(self, batch: int) -> float:
-        """Returns the predicted time between tokens with `batch` streams at once."""
+    def token_gap_at(self, batch: int) -> float:
+        """Returns the predicted time between tokens with `batch` concurrent streams."""
         return self.token_gap_s * (1 + self.batch_slowdown * max(0, batch - 1))
 
-    def learn_prefill(self, predicted_s: float, seen_s: float) -> None:
-        """Takes in how long a prefill took, queue included, against its prediction.
+    def observe_prefill(self, predicted_s: float, measured_s: float) -> None:
+        """Updates `prefill_ratio` from the predicted and measured duration of a prefill, queueing included.
 
-        A short prompt tells nothing: its time is mostly the fixed part, which the ratio does not scale, so that
-        the ratio would grow with each one.
+        Ignores short prompts: their duration is mostly the fixed overhead, which the ratio does not scale, so each one
+        would raise the ratio further.
         """
-        computing_s = predicted_s - _FIXED_PREFILL_S
-        if computing_s >= _LEARNT_PREFILL_S and seen_s > 0:
-            seen = min(10.0, max(0.1, self.prefill_ratio * (seen_s - _FIXED_PREFILL_S) / computing_s))
-            self.prefill_ratio = _mix(self.prefill_ratio, seen)
+        computing_s = predicted_s - _PREFILL_OVERHEAD_S
+        if computing_s >= _MIN_SAMPLE_PREFILL_S and measured_s > 0:
+            measured = min(10.0, max(0.1, self.prefill_ratio * (measured_s - _PREFILL_OVERHEAD_S) / computing_s))
+            self.prefill_ratio = _smooth(self.prefill_ratio, measured)
 
-    def relax(self) -> None:
-        """Moves a prefill speed learnt long ago towards the announced one.
+    def decay_prefill_ratio(self) -> None:
+        """Moves the estimated prefill speed towards the announced one.
 
-        Without it a server that was once learnt to be slow would get no work and never show that it has recovered.
+        Otherwise a server once measured as slow would get no work, and its recovery would never be measured.
         """
-        self.prefill_ratio += _RELAXING_RATE * (1.0 - self.prefill_ratio)
+        self.prefill_ratio += _DECAY_FACTOR * (1.0 - self.prefill_ratio)
 
-    def learn_gap(self, seen_s: float, batch: float) -> None:
-        """Takes in the mean time between the tokens of a stream that ran among `batch` streams."""
+    def observe_token_gap(self, measured_s: float, batch: float) -> None:
+        """Updates the estimates from the mean time between tokens of a stream in a batch of `batch` streams."""
         if batch <= 1.5:
-            self.token_gap_s = _mix(self.token_gap_s, seen_s)
+            self.token_gap_s = _smooth(self.token_gap_s, measured_s)
             return
-        slowdown = (seen_s / self.token_gap_s - 1) / (batch - 1)
+        slowdown = (measured_s / self.token_gap_s - 1) / (batch - 1)
         if slowdown < 0:
-            self.token_gap_s = _mix(self.token_gap_s, seen_s)
-        self.batch_slowdown = _mix(self.batch_slowdown, min(1.0, max(0.0, slowdown)))
+            self.token_gap_s = _smooth(self.token_gap_s, measured_s)
+        self.batch_slowdown = _smooth(self.batch_slowdown, min(1.0, max(0.0, slowdown)))
 
-    def batch_within(self, gap_s: float) -> int:
-        """Returns how many streams keep the time between tokens within `gap_s`; 0 when none does.
+    def max_batch_size(self, gap_s: float) -> int:
+        """Returns the largest batch whose time between tokens is at most `gap_s`, 0 if a single stream exceeds it.
 
-        >>> Speed(1000.0, 0.01, 0.1).batch_within(0.021)
+        >>> SpeedEstimate(1000.0, 0.01, 0.1).max_batch_size(0.021)
         12
         """
         if self.token_gap_s > gap_s:
@@ -95,128 +99,133 @@
 
 @dataclass(slots=True)
 class Server:
-    """State of one server. `assigned` counts the tickets that hold a place, at most one each."""
+    """State of one server. `assigned` is the number of slots taken by tickets, at most one for each ticket."""
 
     announcement: Any
-    heard_at: float
-    speed: Speed
+    announced_at: float
+    speed: SpeedEstimate
     health: Health = field(default_factory=Health)
     assigned: int = 0
-    reported_foreign: int = 0  # requests beyond those assigned, by the load report
-    orphans: int = 0  # requests that the engine listed and that no ticket accounts for
+    reported_untracked: int = 0  # requests in the load report beyond those assigned
+    orphans: int = 0  # requests listed by the engine that have no ticket
     busy_until: float = 0.0
-    prefilled_at: float = float("-inf")  # when its last prefill was assigned
+    last_prefill_at: float = float("-inf")  # when the last prefill was assigned
     prefill_s_by_ticket: dict[str, float] = field(default_factory=dict)
-    checked: bool = True  # its requests have been read since this owner took over
+    requests_read: bool = True  # False while a new owner still reads the engine's requests
     order_running: bool = False
-    drained: bool = False  # by an order of an operator
+    drained: bool = False  # by an operator's order
     next_cache_seq: int | None = None
-    _peaks: tuple[float, int, int] = (0.0, 0, 0)  # start of this period, its peak of `assigned`, that before
+    _assigned_peaks: tuple[float, int, int] = (0.0, 0, 0)  # period start, its peak of `assigned`, previous peak
 
     @property
     def id(self) -> str:
-        """Name of the server."""
+        """ID of the server."""
         return self.announcement.id
 
     @property
-    def foreign(self) -> int:
-        """Number of requests on the server that no ticket of this owner accounts for."""
-        return max(self.reported_foreign, self.orphans)
+    def untracked(self) -> int:
+        """Number of requests on the server that have no ticket with this owner."""
+        return max(self.reported_untracked, self.orphans)
 
     def serves(self, stage: str) -> bool:
-        """Says whether the server's role includes `stage` (prefill, decode or plain)."""
+        """Returns whether the server's role includes `stage` (prefill, decode or plain)."""
         role = self.announcement.role
         return role == stage or (role == "both" and stage != "plain")
 
-    def ready(self, now: float) -> bool:
-        """Says whether the server may get new work."""
+    def is_ready(self, now: float) -> bool:
+        """Returns whether the server may be assigned new requests."""
         return (
             self.announcement.state == "ready"
-            and now - self.heard_at < SILENT_S
-            and self.checked
+            and now - self.announced_at < ANNOUNCEMENT_TIMEOUT_S
+            and self.requests_read
             and not self.order_running
             and not self.drained
-            and not self.health.ejected(now)
+            and not self.health.is_ejected(now)
         )
 
     def capacity(self, now: float, gap_target_s: float) -> int:
-        """Returns the number of places that may be taken: slots, slow start and the token gap in mind.
+        """Returns how many slots may be taken, given untracked requests, the token gap target and slow start.
 
-        A server that misses the token gap target even with one stream keeps all its slots; the placement
-        takes it last.
+        A server that misses the token gap target even with one stream keeps all its slots; the placement policy
+        ranks it last.
+        """
+        slots = self.announcement.slots - self.untracked
+        max_streams = self.speed.max_batch_size(gap_target_s) if self.announcement.role in ("decode", "both") else 0
+        if max_streams:
+            slots = min(slots, max_streams)
+        fraction = self.health.usable_fraction(now)
+        return slots if fraction >= 1.0 else max(1, int(slots * fraction))
+
+    def take_slot(self) -> None:
+        """Takes one slot. Raises `AssertionError` if none is free."""
+        assert self.assigned < self.announcement.slots, f"server {self.id} has no free slot"
+        self.count_slot()
+
+    def count_slot(self) -> None:
+        """Counts one slot as taken, without a limit.
+
+        Slots assigned by an earlier owner can exceed the number of slots, if the server has lowered it since.
         """
-        slots = self.announcement.slots - self.foreign
-        within = self.speed.batch_within(gap_target_s) if self.announcement.role in ("decode", "both") else 0
-        if within:
-            slots = min(slots, within)
-        part = self.health.usable_part(now)
-        return slots if part >= 1.0 else max(1, int(slots * part))
-
-    def join(self) -> None:
-        """Takes one place; the caller has checked that one is free."""
-        assert self.assigned < self.announcement.slots, f"server {self.id} has no slot left to give out"
-        self.adopt()
-
-    def adopt(self) -> None:
-        """Counts a place that an earlier owner gave out, which can exceed a number of slots lowered since."""
         self.assigned += 1
-        start, peak, before = self._peaks
-        self._peaks = (start, max(peak, self.assigned), before)
+        start, peak, before = self._assigned_peaks
+        self._assigned_peaks = (start, max(peak, self.assigned), before)
 
-    def leave(self) -> None:
-        """Gives one place back."""
-        assert self.assigned > 0, f"server {self.id} has no place that could be given back"
+    def release_slot(self) -> None:
+        """Releases one slot. Raises `AssertionError` if none is taken."""
+        assert self.assigned > 0, f"server {self.id} has no assigned slot to release"
         self.assigned -= 1
 
-    def begin_prefill(self, ticket: str, duration_s: float, now: float) -> None:
-        """Adds a prefill to the end of the server's queue."""
-        self.busy_until = now + self.wait_s(now) + duration_s
+    def enqueue_prefill(self, ticket: str, duration_s: float, now: float) -> None:
+        """Appends a prefill to the server's queue."""
+        self.busy_until = now + self.prefill_wait_s(now) + duration_s
         self.prefill_s_by_ticket[ticket] = duration_s
-        self.prefilled_at = now
+        self.last_prefill_at = now
 
     def end_prefill(self, ticket: str, now: float) -> bool:
-        """Removes a prefill from the queue; returns False when it was not there."""
+        """Removes a prefill from the queue; returns False if it is not queued."""
         if self.prefill_s_by_ticket.pop(ticket, None) is None:
             return False
         self.busy_until = min(self.busy_until, now + sum(self.prefill_s_by_ticket.values()))
         return True
 
-    def wait_s(self, now: float) -> float:
-        """Returns how long a new prefill would wait for those before it.
+    def prefill_wait_s(self, now: float) -> float:
+        """Returns the predicted queueing time of a new prefill.
 
-        A queue that should have ended by now is late; the longer it is late, the longer it is expected to stay.
+        If the queue was predicted to be empty by now, the expected remaining time is a quarter of the overrun.
         """
         if not self.prefill_s_by_ticket:
             return 0.0
         left = self.busy_until - now
         return left if left > 0 else -0.25 * left
 
-    def takes_prefill(self) -> bool:
-        """Says whether the prefill queue is short enough for one more.
+    def accepts_prefill(self) -> bool:
+        """Returns whether the prefill queue is short enough for another prefill.
 
-        One prefill ahead keeps the server busy; a longer queue would only hold decode slots early and take the
-        order of requests out of the pool owner's hands.
+        One queued prefill keeps the server busy. A longer queue would take decode slots earlier than needed and fix the
+        order of requests that the pool's queue could still change.
         """
         queued = self.prefill_s_by_ticket
-        return len(queued) < 2 or (len(queued) < self.announcement.slots and sum(queued.values()) < PREFILL_AHEAD_S)
+        return len(queued) < 2 or (
+            len(queued) < self.announcement.slots and sum(queued.values()) < MAX_QUEUED_PREFILL_S
+        )
 
-    def report(self, announcement: Any, now: float) -> None:
-        """Takes in an announcement of the same run.
+    def update_announcement(self, announcement: Any, now: float) -> None:
+        """Applies an announcement of the same incarnation.
 
-        The load report lags, so that only what exceeds the most that was assigned in the last
-        `REPORT_LAG_S` to twice that counts as work of others.
+        The load report lags behind, so only running requests beyond the peak of `assigned` in the last one to two
+        periods of `MAX_REPORT_AGE_S` count as untracked.
         """
         self.announcement = announcement
-        self.heard_at = now
-        if now - self.prefilled_at > UNUSED_S:
-            self.speed.relax()
-        start, peak, before = self._peaks
-        if now - start >= REPORT_LAG_S:
+        self.announced_at = now
+        if now - self.last_prefill_at > PREFILL_SPEED_STALE_S:
+            self.speed.decay_prefill_ratio()
+        start, peak, before = self._assigned_peaks
+        if now - start >= MAX_REPORT_AGE_S:
             start, peak, before = now, self.assigned, peak
-            self._peaks = (start, peak, before)
-        limit = announcement.slots - 1  # one slot stays, so that a wrong report cannot shut a server out for good
-        self.reported_foreign = max(0, min(limit, announcement.running - max(peak, before, self.assigned)))
+            self._assigned_peaks = (start, peak, before)
+        limit = announcement.slots - 1  # one slot stays usable, or a wrong report would exclude the server for good
+        self.reported_untracked = max(0, min(limit, announcement.running - max(peak, before, self.assigned)))
 
     def load(self) -> int:
-        """Returns the requests on the server: the last report, or what was assigned if that is more."""
-        return max(self.assigned + self.foreign, self.announcement.running + self.announcement.queued)
+        """Returns the number of requests on the server: the reported or the assigned ones, whichever is more."""
+        return max(self.assigned + self.untracked, self.announcement.running + self.announcement.queued)
--- a/libs/arbutusrill_pool/_ticket.py
+++ b/libs/arbutusrill_pool/_ticket.py
@@ -1,4 +1,4 @@
-"""Tickets: requests that wait for servers and requests that hold them."""
+"""Tickets: requests that wait for servers, and their placements and allocations."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from ._server import Server
 
-__all__ = ["Band", "Cost", "Held", "Placement", "Ticket"]
+__all__ = ["Band", "Cost", "Allocation", "Placement", "Ticket"]
 
 
 class Band(enum.IntEnum):
-    """Order of dispatch: deferred tickets are placed when no urgent one can use the room."""
+    """Priority band: deferred tickets are placed only when no urgent ticket can be."""
 
     URGENT = 0
     DEFERRED = 1
@@ -21,18 +21,18 @@
 
 @dataclass(slots=True)
 class Cost:
-    """What a request uses, in seconds of the whole pool: its prefill servers and its decode slots."""
+    """Resource use of a request, in seconds of all prefill servers and of all decode slots of the pool."""
 
     prefill_s: float = 0.0
     decode_s: float = 0.0
 
     @property
     def price(self) -> float:
-        """Sum by which the request's workspace is charged."""
+        """Amount charged to the virtual time of the request's workspace."""
         return self.prefill_s + self.decode_s
 
     def add(self, other: Cost, factor: float = 1.0) -> None:
-        """Adds another cost, or subtracts it with a factor of -1. Rounding never leaves a negative rest."""
+        """Adds `factor` times another cost. Clamped at 0, since rounding errors of a subtraction could leave less."""
         self.prefill_s = max(0.0, self.prefill_s + factor * other.prefill_s)
         self.decode_s = max(0.0, self.decode_s + factor * other.decode_s)
 
@@ -41,42 +41,42 @@
 class Ticket:
     """A request in the queue. Times are monotonic, in seconds.
 
-    `first_by` is when its first token is due; `reply` is set once it is assigned or refused.
+    `reply` is set, and `reply_ready` notified, once the ticket is assigned or refused.
     """
 
     request: Any
     arrived_at: float
     polled_at: float
-    first_by: float
+    first_token_due_at: float
     band: Band
     cost: Cost
-    decided: Condition
-    queue_name: str = ""  # the workspace, or one name for all where arrival order rules
+    reply_ready: Condition
+    queue_name: str = ""  # the workspace; empty for all tickets if the policy does not reserve
     order_key: float = 0.0
     reply: Any = None
     in_queue: bool = False
 
     @property
     def id(self) -> str:
-        """Name of the ticket, which is the request ID."""
+        """ID of the ticket, which is the request ID."""
         return self.request.ticket
 
 
 @dataclass(slots=True)
 class Placement:
-    """Servers chosen for a ticket. `prefill` is None in a pool of a plain service."""
+    """Servers chosen for a ticket, with the predicted times in seconds. `prefill` is None for a plain service."""
 
     prefill: Server | None
     decode: Server
     first_token_s: float = 0.0
     prefill_s: float = 0.0
     wait_s: float = 0.0
-    missed_tokens: float = 0.0
+    uncached_tokens: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
-class Held:
-    """What a ticket holds on servers until it is released or its VM stops renewing it."""
+class Allocation:
+    """Slots that a ticket holds on servers until it is released or cancelled. Times are monotonic, in seconds."""
 
     ticket: str
     vm: str
@@ -89,7 +89,7 @@
     reserves: bool = True
     prefilling: bool = False
     predicted_prefill_s: float = 0.0
-    prefill_s: float = 0.0  # measured, once it has been reported
+    prefill_s: float = 0.0  # measured; 0 until reported
     output_tokens: int = 0
     batch: int = 1
     delivered: bool = False
--- a/libs/arbutusrill_pool/tests/support.py
+++ b/libs/arbutusrill_pool/tests/support.py
@@ -1,12 +1,12 @@
-"""Announcements, requests and engine calls for the tests of the pool owner."""
+"""Test helpers: messages with defaults, a fake engine client, and a pool with a manual clock."""
 
 from __future__ import annotations
 
 from arbutusrill_base import ManualClock
 from arbutusrill_wire import messages
 
-from arbutusrill_pool import EngineCalls, EngineWork, OrderAnswer, PoolOwner
-from arbutusrill_pool._admission import INITIAL_VALUES
+from arbutusrill_pool import EngineCallQueue, EngineClient, OrderAnswer, PoolOwner
+from arbutusrill_pool._admission import DEFAULT_VALUES
 
 
 def announcement(name, role="decode", **fields):
@@ -44,12 +44,12 @@
     return messages.ReleaseRequest("m", ticket, outcome, **timings)
 
 
-def held(ticket, reply, stage="decode", workspace="a"):
+def held_ticket(ticket, reply, stage="decode", workspace="a"):
     return messages.HeldTicket(ticket, "m", reply.assignment, workspace, stage)
 
 
-class FakeEngines(EngineCalls):
-    """Records cancels and orders; `rows` are the requests that each address holds."""
+class FakeEngines(EngineClient):
+    """Records cancellations and orders; `rows` holds the requests of each address."""
 
     def __init__(self):
         self.acknowledges = True
@@ -75,23 +75,23 @@
     return True
 
 
-class Pool:
-    """A `PoolOwner` with a manual clock and servers that keep announcing themselves."""
+class PoolFixture:
+    """A `PoolOwner` with a manual clock, fake engines and servers that announce themselves."""
 
     def __init__(self, *announcements, epoch=1, values=(), dead=(), lease=True):
         self.clock = ManualClock(100.0)
-        self.values = {**INITIAL_VALUES, **dict(values)}
+        self.values = {**DEFAULT_VALUES, **dict(values)}
         self.dead = set(dead)
         self.lease = lease
         self.engines = FakeEngines()
-        self.work = EngineWork(self.engines, self.clock, run_now)
+        self.call_queue = EngineCallQueue(self.engines, self.clock, run_now)
         self.owner = PoolOwner(
             "m",
             epoch,
             self.clock,
             lambda name: self.values[name],
             lambda: self.lease,
-            self.work,
+            self.call_queue,
             lambda vm, incarnation: (vm, incarnation) in self.dead,
             seed=1,
         )
@@ -103,7 +103,7 @@
             self.owner.announce(each)
 
     def pass_time(self, seconds, tickets=(), announcing=True, step=0.1):
-        """Moves the clock in steps of `step`, with announcements, renewals of `tickets` and ticks."""
+        """Advances the clock in steps of `step` seconds, each with announcements, renewals of `tickets` and ticks."""
         for _ in range(round(seconds / step)):
             self.clock.advance(step)
             if announcing:
@@ -111,7 +111,7 @@
             if tickets:
                 self.owner.renew(messages.RenewRequest("vm1", 7, list(tickets)))
             self.owner.tick()
-            self.work.tick()
+            self.call_queue.tick()
 
     def acquire(self, ticket, workspace="a", **fields):
         return self.owner.acquire(request(ticket, workspace, **fields))
@@ -121,7 +121,7 @@
 
 
 def small_pool(**options):
-    return Pool(
+    return PoolFixture(
         announcement("p1", "prefill"),
         announcement("p2", "prefill"),
         announcement("d1", slots=2),
--- a/libs/arbutusrill_pool/tests/test_admission.py
+++ b/libs/arbutusrill_pool/tests/test_admission.py
@@ -1,14 +1,14 @@
-"""Guards against requests that wait in vain, and refusals with a wrong time to retry."""
+"""Guards against admitted requests that miss their deadline, and refusals with a wrong retry time."""
 
 import pytest
 
-from arbutusrill_pool.tests.model import Model, Traffic
-from arbutusrill_pool.tests.support import Pool, announcement, release, small_pool
+from arbutusrill_pool.tests.model import PoolSimulation, Traffic
+from arbutusrill_pool.tests.support import PoolFixture, announcement, release, small_pool
 
 
 def full_pool(**fields):
-    """A pool whose two slots are taken for about 10 s and whose queue holds one request of each second."""
-    pool = Pool(announcement("p", "prefill"), announcement("d", slots=2, token_gap_s=0.02))
+    """Returns a pool whose two slots are predicted to be taken for about 10 s."""
+    pool = PoolFixture(announcement("p", "prefill"), announcement("d", slots=2, token_gap_s=0.02))
     for number in range(2):
         pool.acquire(f"t{number}", output_tokens=500, **fields)
         pool.owner.release(release(f"t{number}", "prefilled"))
@@ -27,23 +27,22 @@
     pool = full_pool()
     pool.acquire("u", output_tokens=500)
     wait_ms = pool.acquire("v", output_tokens=500).retry_after_ms
-    # Two slots that take 10 s for each request free one each 5 s; 2 s of that wait would be within the target.
+    # Two slots held for 10 s each free one every 5 s, of which 2 s are within the target.
     assert wait_ms == pytest.approx(3000, rel=0.25)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_retry_after_matches_the_drain_of_a_loaded_pool(seed):
-    model = Model({"w0": Traffic(60.0)}, seed)
+    model = PoolSimulation({"w0": Traffic(60.0)}, seed)
     seen = model.run(60)["w0"]
-    # One workspace at twice the capacity: the queue stays at the limit, so that a place is free again after the
-    # excess over the target has drained, which is short.
+    # At twice the capacity the queue stays at its limit, so a retry succeeds once the small excess has drained.
     waits = sorted(seen.retry_after_ms)
     assert len(waits) > 500
     assert waits[len(waits) // 2] < 1000
 
 
 def test_admitted_requests_meet_the_target_under_overload():
-    seen = Model({"w0": Traffic(60.0)}, 4).run(60)["w0"]
+    seen = PoolSimulation({"w0": Traffic(60.0)}, 4).run(60)["w0"]
     late = sum(1 for wait in seen.first_token_s if wait > 2.0)
     assert late < 0.02 * len(seen.first_token_s)
 
@@ -76,7 +75,7 @@
 
 
 def test_briefing_that_cannot_be_whole_by_its_deadline_is_refused_at_once():
-    """Its first token alone would come in time: 400 tokens at 10 ms take 4 s of the 3 s that it has."""
+    """Its first token would be in time, but 400 tokens at 10 ms take 4 s and the deadline is 3 s."""
     pool = small_pool()
     fields = {"latency_class": "briefing", "output_tokens": 400}
     assert pool.acquire("late", deadline_ms=3_000, **fields).status == "refused"
--- a/libs/arbutusrill_pool/tests/test_failures.py
+++ b/libs/arbutusrill_pool/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Guards against capacity lost to failed VMs, slots given out twice after an owner change, and wrong ejections."""
+"""Guards against slots lost to failed VMs or assigned twice after an owner change, and against wrong ejections."""
 
 import threading
 
@@ -6,13 +6,21 @@
 from arbutusrill_wire import messages
 
 from arbutusrill_pool import EngineRequest, PoolDirectory
-from arbutusrill_pool.tests.support import FakeEngines, Pool, announcement, held, release, request, small_pool
+from arbutusrill_pool.tests.support import (
+    FakeEngines,
+    PoolFixture,
+    announcement,
+    held_ticket,
+    release,
+    request,
+    small_pool,
+)
 
 
 def test_ticket_missing_from_renewals_is_cancelled_and_freed_within_two_seconds():
     pool = small_pool()
     kept, lost = pool.acquire("kept"), pool.acquire("lost")
-    pool.pass_time(1.5, [held("kept", kept)])
+    pool.pass_time(1.5, [held_ticket("kept", kept)])
     assert {ticket for _, ticket in pool.engines.cancelled} == {"lost"}
     assert (lost.assignment.decode_address, "lost") in pool.engines.cancelled
     assert sum(pool.assigned().values()) == 1
@@ -21,7 +29,7 @@
 def test_cancel_is_repeated_until_it_is_acknowledged():
     pool = small_pool()
     pool.acquire("t")
-    pool.pass_time(0.1, [held("other", pool.acquire("other"))])
+    pool.pass_time(0.1, [held_ticket("other", pool.acquire("other"))])
     pool.engines.acknowledges = False
     pool.pass_time(2.0)
     before = len(pool.engines.cancelled)
@@ -49,11 +57,11 @@
 
 
 def test_new_owner_waits_and_takes_renewed_tickets_into_account():
-    first = Pool(announcement("p", "prefill"), announcement("d", slots=2))
+    first = PoolFixture(announcement("p", "prefill"), announcement("d", slots=2))
     replies = {ticket: first.acquire(ticket) for ticket in ("t", "u")}
-    second = Pool(announcement("p", "prefill"), announcement("d", slots=2), epoch=2)
+    second = PoolFixture(announcement("p", "prefill"), announcement("d", slots=2), epoch=2)
     assert second.acquire("early", deadline_ms=9000, latency_class="briefing").status == "pending"
-    tickets = [held(ticket, reply) for ticket, reply in replies.items()]
+    tickets = [held_ticket(ticket, reply) for ticket, reply in replies.items()]
     second.pass_time(1.2, tickets)
     assert second.assigned()["d"] == 2
     assert second.acquire("early").status == "pending"
@@ -63,7 +71,7 @@
 
 
 def test_new_owner_gives_out_slots_only_after_reading_the_engines():
-    pool = Pool(announcement("p", "prefill"), announcement("d", slots=2), epoch=2)
+    pool = PoolFixture(announcement("p", "prefill"), announcement("d", slots=2), epoch=2)
     rows = [EngineRequest(f"r{number}", "vm9", 1) for number in range(2)]
     pool.engines.rows["http://d"] = rows
     pool.pass_time(1.2)
@@ -75,7 +83,7 @@
 
 
 def test_request_on_an_engine_that_its_vm_does_not_renew_is_cancelled():
-    pool = Pool(announcement("p", "prefill"), announcement("d", slots=2), epoch=2)
+    pool = PoolFixture(announcement("p", "prefill"), announcement("d", slots=2), epoch=2)
     pool.engines.rows["http://d"] = [EngineRequest("orphan", "vm1", 7)]
     pool.pass_time(1.6, [messages.HeldTicket("x", "other-pool", None, "a", "decode")])
     assert ("http://d", "orphan") in pool.engines.cancelled
@@ -85,14 +93,14 @@
     pool = small_pool()
     reply = pool.acquire("t")
     pool.owner.release(release("t"))
-    pool.owner.renew(messages.RenewRequest("vm1", 7, [held("t", reply)]))
+    pool.owner.renew(messages.RenewRequest("vm1", 7, [held_ticket("t", reply)]))
     assert sum(pool.assigned().values()) == 0
 
 
 def test_renewed_decode_stage_frees_the_prefill_server():
     pool = small_pool()
     reply = pool.acquire("t")
-    pool.owner.renew(messages.RenewRequest("vm1", 7, [held("t", reply, "decode")]))
+    pool.owner.renew(messages.RenewRequest("vm1", 7, [held_ticket("t", reply, "decode")]))
     assert pool.assigned()[reply.assignment.prefill_server] == 0
 
 
@@ -105,12 +113,12 @@
     return {server.announcement.id: server.health for server in pool.owner.status().servers}
 
 
-def four_decodes():
-    return Pool(announcement("p", "prefill"), *(announcement(f"d{number}") for number in range(1, 5)))
+def pool_of_four_decode_servers():
+    return PoolFixture(announcement("p", "prefill"), *(announcement(f"d{number}") for number in range(1, 5)))
 
 
 def test_one_failed_connection_ejects_nothing():
-    pool = four_decodes()
+    pool = pool_of_four_decode_servers()
     fail(pool, 1)
     pool.acquire("f1")
     pool.owner.release(release("f1", "decode_failed", failed_server="d1"))
@@ -120,7 +128,7 @@
 
 
 def test_repeated_failures_eject_and_the_server_returns_slowly():
-    pool = four_decodes()
+    pool = pool_of_four_decode_servers()
     for number in range(3):
         fail(pool, number)
     assert health(pool)["d1"] == "ejected"
@@ -131,7 +139,7 @@
 
 
 def test_few_failures_among_many_successes_eject_nothing():
-    pool = four_decodes()
+    pool = pool_of_four_decode_servers()
     for number in range(12):
         pool.acquire(f"s{number}", avoid=["d2", "d3", "d4"])
         pool.owner.release(release(f"s{number}", tokens=10, decode_s=0.1))
@@ -141,7 +149,7 @@
 
 
 def test_ejection_leaves_half_of_the_pool():
-    pool = four_decodes()
+    pool = pool_of_four_decode_servers()
     for server in ("d1", "d2", "d3", "d4"):
         for number in range(4):
             pool.acquire(f"{server}-{number}")
@@ -150,7 +158,7 @@
 
 
 def directory_with(engines, clock=None):
-    return PoolDirectory("vm2", 5, clock or ManualClock(), calls=engines)
+    return PoolDirectory("vm2", 5, clock or ManualClock(), client=engines)
 
 
 def vm(name, incarnation, state="live"):
@@ -181,7 +189,7 @@
 
 
 def test_runner_that_turns_to_this_vm_after_a_death_is_asked_too():
-    """A runner that announced itself to the frozen VM comes only after its own timeout (bin/proof gone --seed 3)."""
+    """A runner announces itself to another VM only after its timeout for the frozen one (bin/proof gone --seed 3)."""
     engines = FakeEngines()
     engines.rows["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("alive", "vm3", 8)]
     directory = directory_with(engines)
--- a/libs/arbutusrill_pool/tests/test_shares.py
+++ b/libs/arbutusrill_pool/tests/test_fair_queue.py
@@ -1,18 +1,18 @@
-"""Guards against one workspace that slows down the others, or loses capacity that nobody else wants."""
+"""Guards against a workspace that slows down the others, and against idle capacity that is withheld from it."""
 
 import pytest
 
-from arbutusrill_pool._shares import FairQueue
+from arbutusrill_pool._fair_queue import FairQueue
 from arbutusrill_pool._ticket import Band, Cost, Ticket
-from arbutusrill_pool.tests.model import Model, Traffic
+from arbutusrill_pool.tests.model import PoolSimulation, Traffic
 from arbutusrill_pool.tests.support import request
 
 
-def others_quantile(rate, output_tokens, factor, seed):
+def others_first_token_p95(rate, output_tokens, factor, seed):
     names = [f"w{number}" for number in range(5)]
     traffic = {name: Traffic(rate, output_tokens=output_tokens) for name in names}
     traffic["w0"] = Traffic(rate * factor, output_tokens=output_tokens)
-    seen = Model(traffic, seed).run(200)
+    seen = PoolSimulation(traffic, seed).run(200)
     waits = sorted(wait for name in names[1:] for wait in seen[name].first_token_s)
     refused = sum(len(seen[name].retry_after_ms) for name in names[1:])
     return waits[int(0.95 * len(waits))], refused, len(seen["w0"].first_token_s)
@@ -20,17 +20,17 @@
 
 @pytest.mark.parametrize(("rate", "output_tokens"), [(2.5, 150), (2.0, 400)], ids=["prefill-bound", "decode-bound"])
 def test_five_times_its_rate_moves_the_quantile_of_others_by_at_most_a_tenth(rate, output_tokens):
-    alone, _, served = others_quantile(rate, output_tokens, 1, seed=1)
-    crowded, refused, served_more = others_quantile(rate, output_tokens, 5, seed=1)
+    alone, _, served = others_first_token_p95(rate, output_tokens, 1, seed=1)
+    crowded, refused, served_more = others_first_token_p95(rate, output_tokens, 5, seed=1)
     assert crowded <= 1.1 * alone
     assert refused == 0
-    assert served_more > 1.8 * served  # the rest of the pool is not left idle
+    assert served_more > 1.8 * served  # it uses the capacity that the others leave
 
 
 def test_a_workspace_alone_uses_the_whole_pool():
-    model = Model({"w0": Traffic(40.0)}, 3)
+    model = PoolSimulation({"w0": Traffic(40.0)}, 3)
     served = model.run(60)["w0"].first_token_s
-    assert len(served) > 0.85 * 60 * 4 * 20_000 / 3000  # of what four prefill servers can do
+    assert len(served) > 0.85 * 60 * 4 * 20_000 / 3000  # of the capacity of four prefill servers
 
 
 def queue_with(weights, each=30):
@@ -39,7 +39,7 @@
         for _ in range(each):
             number += 1
             ticket = Ticket(request(f"t{number}", workspace), 0, 0, 0, Band.URGENT, Cost(1.0), None, workspace, number)
-            queue.push(ticket, queue.share(workspace, weight, 0.0))
+            queue.push(ticket, queue.get_or_create_share(workspace, weight, 0.0))
     return queue
 
 
@@ -56,7 +56,7 @@
 
 def test_head_is_found_after_many_pushes_of_one_workspace():
     queue = queue_with({"a": 1.0}, each=500)
-    assert len(queue._heaps[Band.URGENT]) == 1  # one entry a workspace, or each search would pass all of them
+    assert len(queue._heaps[Band.URGENT]) == 1  # one entry per workspace; `head` scans the entries
 
 
 def test_briefings_leave_interactive_requests_within_their_target():
@@ -64,7 +64,7 @@
         "w0": Traffic(3.0),
         "w1": Traffic(20.0, latency_class="briefing", deadline_ms=120_000),
     }
-    model = Model(traffic, 5)
+    model = PoolSimulation(traffic, 5)
     seen = model.run(120)
     assert seen["w0"].retry_after_ms == []
     assert seen["w0"].quantile(0.95) < 2.0
@@ -73,13 +73,13 @@
 
 def test_briefing_that_is_nearly_due_is_placed_before_new_interactive_requests():
     traffic = {"w0": Traffic(30.0), "w1": Traffic(0.2, latency_class="briefing", deadline_ms=8000)}
-    seen = Model(traffic, 6).run(120)
+    seen = PoolSimulation(traffic, 6).run(120)
     assert len(seen["w1"].first_token_s) > 10
     assert seen["w1"].retry_after_ms == []
 
 
 def test_backlog_of_a_workspace_beyond_its_share_does_not_get_others_refused():
-    _, refused, _ = others_quantile(4.0, 150, 5, seed=1)
+    _, refused, _ = others_first_token_p95(4.0, 150, 5, seed=1)
     assert refused == 0
 
 
@@ -90,7 +90,7 @@
     queue.remove(first)
     queue.charge(share, first.cost)
     assert queue.head(Band.URGENT, set()) is None
-    queue.settle(share, first.cost, Cost(0.0))
+    queue.correct_charge(share, first.cost, Cost(0.0))
     ticket = Ticket(request("u"), 0, 0, 0, Band.URGENT, Cost(1.0), None, "a")
     queue._virtual_now = share.virtual_time
     queue.push(ticket, share)
--- a/libs/arbutusrill_pool/tests/test_order_release.py
+++ b/libs/arbutusrill_pool/tests/test_order_release.py
@@ -1,4 +1,4 @@
-"""Guards against orders that start before the control group has released them, which overloads the weight store."""
+"""Guards against orders that start before their release by the control group, which would overload the weight store."""
 
 import pytest
 from arbutusrill_base import ManualClock
@@ -11,7 +11,7 @@
     def server_address(self, server_id):
         return "http://127.0.0.1:1", True
 
-    def hold_for_order(self, server_id, held):
+    def hold_for_order(self, server_id, hold):
         return True
 
     def set_drained(self, server_ids):
--- a/libs/arbutusrill_pool/tests/test_owner.py
+++ b/libs/arbutusrill_pool/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""Guards against slots given out twice or lost, and tickets that lose their place."""
+"""Guards against slots assigned twice or never freed, and against tickets that lose their queue position."""
 
 import threading
 import time
@@ -6,10 +6,10 @@
 import pytest
 from arbutusrill_wire import messages
 
-from arbutusrill_pool._server import Server, Speed
-from arbutusrill_pool._shares import Share
+from arbutusrill_pool._fair_queue import Share
+from arbutusrill_pool._server import Server, SpeedEstimate
 from arbutusrill_pool._ticket import Band, Cost, Ticket
-from arbutusrill_pool.tests.support import Pool, announcement, release, request, small_pool
+from arbutusrill_pool.tests.support import PoolFixture, announcement, release, request, small_pool
 
 
 def test_repeated_acquire_gets_the_same_assignment():
@@ -69,7 +69,7 @@
         pool.owner.release(release(f"t{number}", "prefilled"))
     pool.acquire("gone")
     pool.owner.release(release("t0"))
-    assert sum(pool.assigned().values()) == 5  # the waiting ticket got the slot and a prefill server
+    assert sum(pool.assigned().values()) == 5  # the waiting ticket took the slot and a prefill server
     pool.pass_time(1.4)
     assert sum(pool.assigned().values()) == 3
 
@@ -113,13 +113,13 @@
 
 @pytest.mark.parametrize("state", ["draining", "leaving"])
 def test_departing_server_gets_no_new_work(state):
-    pool = Pool(announcement("p", "prefill"), announcement("d1"), announcement("d2", state=state))
+    pool = PoolFixture(announcement("p", "prefill"), announcement("d1"), announcement("d2", state=state))
     chosen = {pool.acquire(f"t{number}").assignment.decode_server for number in range(2)}
     assert chosen == {"d1"}
 
 
 def test_silent_server_gets_no_new_work_after_two_seconds():
-    pool = Pool(announcement("p", "prefill"), announcement("d1"))
+    pool = PoolFixture(announcement("p", "prefill"), announcement("d1"))
     pool.pass_time(1.9, announcing=False)
     assert pool.acquire("t").status == "assigned"
     pool.pass_time(0.2, announcing=False)
@@ -149,14 +149,14 @@
 
 
 def test_load_of_others_counts_against_the_slots():
-    pool = Pool(announcement("p", "prefill"), announcement("d", slots=4, running=3))
+    pool = PoolFixture(announcement("p", "prefill"), announcement("d", slots=4, running=3))
     assert pool.acquire("t").status == "assigned"
     pool.owner.release(release("t", "prefilled"))
     assert pool.acquire("u").status == "pending"
 
 
 def test_late_load_report_does_not_count_finished_requests_as_foreign():
-    pool = Pool(announcement("p", "prefill"), announcement("d", slots=4))
+    pool = PoolFixture(announcement("p", "prefill"), announcement("d", slots=4))
     for number in range(4):
         pool.acquire(f"t{number}")
         pool.owner.release(release(f"t{number}", "prefilled"))
@@ -170,18 +170,18 @@
 
 
 def test_assertion_stops_more_assigned_than_slots():
-    server = Server(announcement("d", slots=1), 0.0, Speed(1.0, 1.0))
-    server.join()
-    with pytest.raises(AssertionError, match="no slot left"):
-        server.join()
+    server = Server(announcement("d", slots=1), 0.0, SpeedEstimate(1.0, 1.0))
+    server.take_slot()
+    with pytest.raises(AssertionError, match="has no free slot"):
+        server.take_slot()
 
 
 def test_assertion_stops_a_negative_count():
-    server = Server(announcement("d"), 0.0, Speed(1.0, 1.0))
-    with pytest.raises(AssertionError, match="no place"):
-        server.leave()
-    with pytest.raises(AssertionError, match="more than it held"):
-        Share("a", 1.0, 0.0).use(-1, 0)
+    server = Server(announcement("d"), 0.0, SpeedEstimate(1.0, 1.0))
+    with pytest.raises(AssertionError, match="has no assigned slot to release"):
+        server.release_slot()
+    with pytest.raises(AssertionError, match="released more slots or prefills than it holds"):
+        Share("a", 1.0, 0.0).add_usage(-1, 0)
 
 
 def test_assertion_stops_a_second_assignment_of_a_ticket():
@@ -189,13 +189,13 @@
     pool.acquire("t")
     dispatcher, index = pool.owner._dispatcher, pool.owner._index
     ticket = Ticket(request("t"), 100.0, 100.0, 102.0, Band.URGENT, Cost(), threading.Condition(pool.owner._lock))
-    placement = dispatcher.policy.place(dispatcher._wanted(ticket), index, 100.0)
+    placement = dispatcher.policy.place(dispatcher._placement_request(ticket), index, 100.0)
     with pytest.raises(AssertionError, match="already has an assignment"):
-        dispatcher._book.take(ticket, placement, True, 100.0)
+        dispatcher._allocations.allocate(ticket, placement, True, 100.0)
 
 
 def test_owner_that_stops_sends_a_waiting_ticket_to_the_next_owner():
-    """A refusal as a reply would reach the caller; a change of owner is only a reason to ask again."""
+    """The refusal must be raised: a refused reply would reach the caller instead of a retry at the new owner."""
     pool = small_pool()
     for number in range(4):
         pool.acquire(f"t{number}")
--- a/libs/arbutusrill_pool/tests/test_policy.py
+++ b/libs/arbutusrill_pool/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Guards against placements that miss a latency target while a better server is free."""
+"""Guards against placements that miss a latency target although a better server is free."""
 
 from collections import Counter
 
@@ -6,7 +6,7 @@
 from arbutusrill_wire import messages
 
 from arbutusrill_pool import PlacementPolicy, policy_named
-from arbutusrill_pool.tests.support import Pool, announcement, release
+from arbutusrill_pool.tests.support import PoolFixture, announcement, release
 
 
 def events(server, first_seq, added=(), removed=(), full=False):
@@ -14,7 +14,7 @@
 
 
 def pool_with(*servers, policy="reserving"):
-    return Pool(*servers, values={"policy.name": policy})
+    return PoolFixture(*servers, values={"policy.name": policy})
 
 
 def test_round_robin_takes_each_server_in_turn_and_counts_no_slots():
@@ -120,7 +120,7 @@
 
 
 def test_streams_stay_within_the_token_gap_target():
-    # 0.02 s x (1 + 0.03 x (n - 1)) is within 0.031 s up to 19 streams; the slower server has 40 slots.
+    # 0.02 s x (1 + 0.03 x (n - 1)) is within the target of 0.031 s up to n = 19.
     pool = pool_with(announcement("p", "prefill"), announcement("d1", slots=40, token_gap_s=0.02))
     replies = []
     for number in range(25):
