--- a/libs/arbutusrill_pool/_admission.py
+++ b/libs/arbutusrill_pool/_admission.py
@@ -73,10 +73,10 @@
         decode = prefill + self.decode_duration_s(request)
         return Cost(prefill / max(1, self.prefill_servers), decode / slots)
 
-    def actual_cost(self, prompt_s: float, tokens: int) -> Cost:
+    def actual_cost(self, prefill_s: float, tokens: int) -> Cost:
         """Returns the cost of a finished request from its prefill time and its number of output tokens."""
-        decode = prompt_s + tokens * self.gap_s
-        return Cost(prompt_s / max(1, self.prefill_servers), decode / max(1, self.slots))
+        decode = prefill_s + tokens * self.gap_s
+        return Cost(prefill_s / max(1, self.prefill_servers), decode / max(1, self.slots))
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,20 +88,21 @@
 
 
 def wait_limit_of(
-    request: Any, plain: bool, idle_s: float, decode_s: float, config_value: Callable[[str], Any]
+    request: Any, plain: bool, idle_first_token_s: float, decode_s: float, config_value: Callable[[str], Any]
 ) -> WaitLimit:
     """Returns the limit of a request by its latency class.
 
-    `idle_s` is the predicted time to its first token in an idle pool. An interactive request that would miss the target
-    even there is limited by its own deadline instead, since it could otherwise never run. A briefing must be complete
-    by its deadline, so its first token is due `decode_s`, the predicted duration of its output, before that.
+    `idle_first_token_s` is the predicted time to its first token in an idle pool. An interactive request that would
+    miss the target even there is limited by its own deadline instead, since it could otherwise never run. A briefing
+    must be complete by its deadline, so its first token is due `decode_s`, the predicted duration of its output,
+    before that.
     """
     deadline = request.deadline_ms / 1000
     if request.latency_class == "briefing":
         return WaitLimit(max(0.0, deadline - decode_s), Band.DEFERRED)
     if request.latency_class == "lookup":
-        return WaitLimit(min(deadline, config_value("queue.max_wait_s.lookup") + idle_s), Band.URGENT)
+        return WaitLimit(min(deadline, config_value("queue.max_wait_s.lookup") + idle_first_token_s), Band.URGENT)
     if plain:
         return WaitLimit(min(deadline, config_value("queue.max_wait_s.interactive")), Band.URGENT)
     target = config_value("targets.first_token_s")
-    return WaitLimit(deadline if idle_s >= target else min(deadline, target), Band.URGENT)
+    return WaitLimit(deadline if idle_first_token_s >= target else min(deadline, target), Band.URGENT)
--- a/libs/arbutusrill_pool/_directory.py
+++ b/libs/arbutusrill_pool/_directory.py
@@ -22,7 +22,7 @@
 ENGINE_THREADS = 8
 ORDER_THREADS = 4  # separate, since an order can take 10 s and must not delay cancellations
 DEAD_VM_CHECK_S = 30.0  # longer than the retries of announcements and cancellations
-ANNOUNCEMENT_GAP_S = 1.0  # two announcement periods of 0.5 s
+ANNOUNCEMENT_GAP_S = 1.0  # two announcement periods; after a longer gap a runner had announced itself to another VM
 _MAX_DEAD_INCARNATIONS = 1000  # a week at 142 restarts a day
 _log = PartLog("pool")
 
@@ -30,9 +30,9 @@
 class PoolDirectory:
     """Holds a `PoolOwner` for each pool that is assigned to this incarnation of this VM.
 
-    `value` returns a default of the configuration as `ConfigState.value` does; `report_order` proposes a `PutOrder`
-    and returns whether it was accepted. `tick` must be called about every 0.1 s. Calls to engines run on threads that
-    `close` shuts down.
+    `config_value` returns a default of the configuration as `ConfigState.value` does; `report_order` proposes a
+    `PutOrder` and returns whether it was accepted. `tick` must be called about every 0.1 s. Calls to engines run on
+    threads that `close` shuts down.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         incarnation: int,
         clock: Clock,
         holds_lease: Callable[[], bool] = lambda: True,
-        value: Callable[..., Any] | None = None,
+        config_value: Callable[..., Any] | None = None,
         client: EngineClient | None = None,
         report_order: Callable[[Any], bool] = lambda record: False,
     ):
@@ -49,7 +49,7 @@
         self._incarnation = incarnation
         self._clock = clock
         self._holds_lease = holds_lease
-        self._value = value
+        self._config_value = config_value
         self._client = client or HttpEngineClient()
         self._report_order = report_order
         self._executor = ThreadPoolExecutor(ENGINE_THREADS, thread_name_prefix="pool-engines")
@@ -57,11 +57,9 @@
         self._call_queue = EngineCallQueue(self._client, clock, lambda function: _submit(self._executor, function))
         self._lock = threading.Lock()
         self._owner_by_pool: dict[str, PoolOwner] = {}
-        self._orders_by_pool: dict[str, OrderRunner] = {}
+        self._order_runner_by_pool: dict[str, OrderRunner] = {}
         self._incarnation_by_vm: dict[str, int] = {}
-        self._died_at: OrderedDict[tuple[str, int], float] = (
-            OrderedDict()
-        )  # when this VM learnt of the end of an incarnation
+        self._died_at: OrderedDict[tuple[str, int], float] = OrderedDict()  # when this VM learnt of the end
         self._announced_runners: dict[str, tuple[str, float]] = {}  # address and time of the last announcement
 
     def close(self) -> None:
@@ -73,32 +71,32 @@
         """Applies the pools, VMs and orders of the configuration."""
         self._update_vms(vms)
         with self._lock:
-            mine = {
+            owned = {
                 pool.name: pool
                 for pool in pools
                 if pool.owner == self._vm and pool.owner_incarnation == self._incarnation
             }
             for name in list(self._owner_by_pool):
-                if name not in mine or mine[name].epoch != self._owner_by_pool[name].epoch:
+                if name not in owned or owned[name].epoch != self._owner_by_pool[name].epoch:
                     _log.info("pool %s is no longer owned by this VM", name)
                     self._owner_by_pool.pop(name).close()
-                    del self._orders_by_pool[name]
-            for name, pool in mine.items():
+                    del self._order_runner_by_pool[name]
+            for name, pool in owned.items():
                 if name not in self._owner_by_pool:
                     _log.info("pool %s is owned by this VM from epoch %d", name, pool.epoch)
                     self._add_owner(name, pool.epoch)
-            runners = list(self._orders_by_pool.items())
+            runners = list(self._order_runner_by_pool.items())
         records = list(orders)
         for name, runner in runners:
             runner.reconcile([record for record in records if record.pool == name])
 
     def _add_owner(self, name: str, epoch: int) -> None:
-        def value(default: str) -> Any:
-            return DEFAULT_VALUES[default] if self._value is None else self._value(default, model=name)
+        def config_value(default: str) -> Any:
+            return DEFAULT_VALUES[default] if self._config_value is None else self._config_value(default, model=name)
 
-        owner = PoolOwner(name, epoch, self._clock, value, self._holds_lease, self._call_queue, self._is_dead)
+        owner = PoolOwner(name, epoch, self._clock, config_value, self._holds_lease, self._call_queue, self._is_dead)
         self._owner_by_pool[name] = owner
-        self._orders_by_pool[name] = OrderRunner(
+        self._order_runner_by_pool[name] = OrderRunner(
             epoch,
             self._clock,
             owner,
@@ -120,9 +118,9 @@
                     ended.append((vm.id, vm.incarnation))
                 else:
                     self._died_at.pop((vm.id, vm.incarnation), None)
-            ended = [run for run in ended if run not in self._died_at]
+            ended = [vm_incarnation for vm_incarnation in ended if vm_incarnation not in self._died_at]
             now = self._clock.monotonic()
-            self._died_at.update((run, now) for run in ended)
+            self._died_at.update((vm_incarnation, now) for vm_incarnation in ended)
             while len(self._died_at) > _MAX_DEAD_INCARNATIONS:
                 self._died_at.popitem(last=False)
         if ended:
@@ -143,7 +141,9 @@
         with self._lock:
             _, before = self._announced_runners.get(announcement.id, ("", float("-inf")))
             self._announced_runners[announcement.id] = (announcement.address, now)
-            ended = {run for run, died_at in self._died_at.items() if now - died_at < DEAD_VM_CHECK_S}
+            ended = {
+                vm_incarnation for vm_incarnation, died_at in self._died_at.items() if now - died_at < DEAD_VM_CHECK_S
+            }
         # This runner may have announced itself to a VM that has ended, and turned to this one only after that.
         if ended and now - before > ANNOUNCEMENT_GAP_S:
             self._read_and_cancel(announcement.address, ended)
@@ -159,21 +159,30 @@
             self._read_and_cancel(address, ended)
 
     def _read_and_cancel(self, address: str, ended: set[tuple[str, int]]) -> None:
-        self._call_queue.read_requests(address, lambda rows: self._cancel_rows(address, rows, ended))
+        self._call_queue.read_requests(
+            address, lambda engine_requests: self._cancel_engine_requests(address, engine_requests, ended)
+        )
         self._call_queue.tick()
 
-    def _cancel_rows(self, address: str, rows: list[EngineRequest] | None, ended: set[tuple[str, int]]) -> None:
-        for row in rows or ():
-            if (row.vm, row.incarnation) in ended:
-                _log.warning("cancelling request %s at %s: VM %s has ended", row.request_id, address, row.vm)
-                self._call_queue.cancel(address, row.request_id, lambda _: None)
+    def _cancel_engine_requests(
+        self, address: str, engine_requests: list[EngineRequest] | None, ended: set[tuple[str, int]]
+    ) -> None:
+        for engine_request in engine_requests or ():
+            if (engine_request.vm, engine_request.incarnation) in ended:
+                _log.warning(
+                    "cancelling request %s at %s: VM %s has ended",
+                    engine_request.request_id,
+                    address,
+                    engine_request.vm,
+                )
+                self._call_queue.cancel(address, engine_request.request_id, lambda _: None)
         self._call_queue.tick()
 
     def tick(self) -> None:
         """Runs the periodic work of all pools. Call about every 0.1 s."""
         with self._lock:
             owners = list(self._owner_by_pool.values())
-            runners = list(self._orders_by_pool.values())
+            runners = list(self._order_runner_by_pool.values())
         for owner in owners:
             owner.tick()
         for runner in runners:
--- a/libs/arbutusrill_pool/_dispatch.py
+++ b/libs/arbutusrill_pool/_dispatch.py
@@ -61,8 +61,10 @@
         """Places or queues a new ticket, or refuses it if the queue is full or its first token would be late."""
         request = ticket.request
         self.ticket_by_id[ticket.id] = ticket
-        idle_s = self.averages.prefill_duration_s(request) + self.averages.gap_s if not self.plain else 0.0
-        limit = wait_limit_of(request, self.plain, idle_s, self.averages.decode_duration_s(request), self._config_value)
+        idle_first_token_s = self.averages.prefill_duration_s(request) + self.averages.gap_s if not self.plain else 0.0
+        limit = wait_limit_of(
+            request, self.plain, idle_first_token_s, self.averages.decode_duration_s(request), self._config_value
+        )
         ticket.first_token_due_at, ticket.band = now + limit.first_token_s, limit.band
         ticket.cost = self.averages.predicted_cost(request, self.plain)
         if self._queue.length >= MAX_QUEUED_TICKETS:
@@ -74,7 +76,7 @@
             return
         self._queue.remove(ticket)
         share = self._share(ticket, now)
-        predicted = self._queue.predicted_wait_s(share, ticket.band, now) + idle_s
+        predicted = self._queue.predicted_wait_s(share, ticket.band, now) + idle_first_token_s
         if predicted > limit.first_token_s:
             message = f"the first token is predicted after {predicted:.2f} s, the limit is {limit.first_token_s:.2f} s"
             self.refuse(ticket, "overloaded", message, predicted - limit.first_token_s)
--- a/libs/arbutusrill_pool/_fair_queue.py
+++ b/libs/arbutusrill_pool/_fair_queue.py
@@ -17,7 +17,7 @@
 
 LOAD_INTERVAL_S = 0.5  # update interval of loads and credits
 MAX_CREDIT_S = 10.0  # unused seconds of its share that a workspace can save up
-MAX_DEBT_S = 1.0  # excess seconds that count against it; more may be idle capacity that it used
+MAX_DEBT_S = 1.0  # largest debt; keeps the use of idle capacity from counting for longer
 COST_KINDS = ("prefill_s", "decode_s")
 ACTIVE_WINDOW_S = 10.0  # a workspace active within this time reduces the shares of the others
 _LOAD_SMOOTHING_FACTOR = 0.1  # per `LOAD_INTERVAL_S`; loads follow a change within 5 s
@@ -178,14 +178,14 @@
     def predicted_wait_s(self, share: Share, band: Band, now: float) -> float:
         """Returns the predicted queueing time of a new ticket of `share`, in seconds.
 
-        Counts the backlog of each workspace that is served before its virtual time passes the start tag of the new
-        ticket. A workspace that has exceeded its share yields to all others; its backlog is served with the capacity
-        that their recent load leaves, but at least with its share.
+        Counts the part of each workspace's backlog that is served before its virtual time passes the start tag of the
+        new ticket. A workspace that has exceeded its share yields to all others; its backlog is served with the
+        capacity that their recent load leaves, but at least with its share.
         """
         over_share = self.exceeds_share(share, now)
         bands = [other for other in Band if other <= band]
-        own = sum(share.backlog[other].price for other in bands)
-        tag = max(share.virtual_time, self._virtual_now) + own / share.weight
+        own_backlog = sum(share.backlog[other].price for other in bands)
+        start_tag = max(share.virtual_time, self._virtual_now) + own_backlog / share.weight
         ahead, load = Cost(), Cost()
         for other in self.share_by_workspace.values():
             if other is not share:
@@ -197,7 +197,7 @@
                 if other is share or band > each or not cost.price:
                     ahead.add(cost)
                     continue
-                allowed = max(0.0, (tag - other.virtual_time) * other.weight)
+                allowed = max(0.0, (start_tag - other.virtual_time) * other.weight)
                 ahead.add(cost, min(1.0, allowed / cost.price))
         if not over_share:
             return max(ahead.prefill_s, ahead.decode_s)
--- a/libs/arbutusrill_pool/_health.py
+++ b/libs/arbutusrill_pool/_health.py
@@ -31,7 +31,7 @@
     _results: deque[tuple[float, str, bool]] = field(default_factory=lambda: deque(maxlen=_MAX_RESULTS))
 
     def record_success(self, now: float) -> None:
-        """Records a successful request; outside slow start this resets the ejection time to the first one."""
+        """Records a successful request; after slow start the next ejection is a first one again."""
         self._results.append((now, "", True))
         if now - self.returned_at > SLOW_START_S:
             self.ejections = 0
--- a/libs/arbutusrill_pool/_index.py
+++ b/libs/arbutusrill_pool/_index.py
@@ -61,13 +61,13 @@
         if data_centre not in self.open_by_data_centre:
             self.open_by_data_centre[data_centre] = _SampledSet()
         self.open_by_data_centre[data_centre].set_present(server, is_open)
-        before = self._counts_by_id.get(server.id, (0, 0, 0))
+        previous = self._counts_by_id.get(server.id, (0, 0, 0))
         free = max(0, capacity - server.assigned)
         counts = (capacity, free, int(not server.prefill_s_by_ticket)) if ready else (0, 0, 0)
         self._counts_by_id[server.id] = counts
-        self.slots += counts[0] - before[0]
-        self.free += counts[1] - before[1]
-        self.idle += counts[2] - before[2]
+        self.slots += counts[0] - previous[0]
+        self.free += counts[1] - previous[1]
+        self.idle += counts[2] - previous[2]
 
     def drop(self, server: Server) -> None:
         self.update(server, False, 0, False)
@@ -112,10 +112,10 @@
         self.by_id[server.id] = server
         ready = server.is_ready(now)
         capacity = server.capacity(now, self.gap_target_s) if ready else 0
-        room = ready and server.assigned < capacity
+        has_room = ready and server.assigned < capacity
         for name, stage in self._stage_by_name.items():
             if server.serves(name):
-                is_open = room and (name != "prefill" or server.accepts_prefill())
+                is_open = has_room and (name != "prefill" or server.accepts_prefill())
                 stage.update(server, ready, capacity, is_open)
 
     def remove(self, server: Server) -> None:
--- a/libs/arbutusrill_pool/_owner.py
+++ b/libs/arbutusrill_pool/_owner.py
@@ -61,7 +61,7 @@
         self._allocations = AllocationTable(self._index, self._queue)
         self._prefixes = PrefixIndex()
         self._dispatcher = Dispatcher(self._index, self._queue, self._allocations, self._prefixes, config_value)
-        self._recovered_at = clock.monotonic() + (RECOVERY_S if epoch > 1 else 0.0)
+        self._recovery_ends_at = clock.monotonic() + (RECOVERY_S if epoch > 1 else 0.0)
         self._unhealthy: dict[str, Server] = {}  # ejected or in slow start
         self._renewals_checked_at = float("-inf")
         self._drained: frozenset[str] = frozenset()
@@ -92,7 +92,7 @@
 
     def _new_ticket(self, request: Any, now: float) -> Ticket:
         ticket = Ticket(request, now, now, now, Band.URGENT, Cost(), threading.Condition(self._lock))
-        if now >= self._recovered_at:
+        if now >= self._recovery_ends_at:
             self._dispatcher.admit(ticket, now)
         else:
             self._dispatcher.enqueue_during_recovery(ticket, now)
@@ -150,7 +150,7 @@
             self._dispatcher.dispatch(now)
 
     def _may_dispatch(self, now: float) -> bool:
-        return now >= self._recovered_at and self._holds_lease()
+        return now >= self._recovery_ends_at and self._holds_lease()
 
     def _end_unreported_prefills(self, now: float) -> None:
         # A VM that does not report the end of prefills: they count as ended at the predicted time.
@@ -173,12 +173,12 @@
             self._allocations.expire_freed(now)
             if not self._holds_lease():
                 return
-            if now >= self._recovered_at:
+            if now >= self._recovery_ends_at:
                 self._end_unreported_prefills(now)
                 if now - self._renewals_checked_at >= RENEWAL_CHECK_INTERVAL_S:
                     self._renewals_checked_at = now
                     self._renewal_monitor.tick(now)
-            self._dispatcher.tick(now, now >= self._recovered_at)
+            self._dispatcher.tick(now, now >= self._recovery_ends_at)
 
     def _update_servers(self, now: float) -> None:
         gap_target_s = self._config_value("targets.token_gap_s")
@@ -209,10 +209,10 @@
                     self._allocations.free(allocation, now)
             self._dispatch(now)
 
-    def _on_requests_read(self, server_id: str, rows: list[EngineRequest] | None) -> None:
+    def _on_requests_read(self, server_id: str, engine_requests: list[EngineRequest] | None) -> None:
         with self._lock:
             now = self._clock.monotonic()
-            self._renewal_monitor.record_engine_requests(server_id, rows, now)
+            self._renewal_monitor.record_engine_requests(server_id, engine_requests, now)
             self._dispatch(now)
 
     def _update_estimates(self, allocation: Allocation, request: Any, now: float) -> None:
@@ -257,7 +257,7 @@
         ejected_count = sum(1 for other in peers if other is not server and other.health.is_ejected(now))
         if (ejected_count + 1) * 2 > len(peers):
             self._log.warning(
-                "server %s fails repeatedly but is not ejected: half of the servers of its role would not remain",
+                "server %s fails repeatedly but is not ejected: less than half of the servers of its role would remain",
                 server_id,
             )
             return
@@ -292,7 +292,9 @@
             self._unhealthy[server.id] = server
         elif self.epoch > 1 and self._call_queue is not None and announcement.role != "plain":
             server.requests_read = False
-            self._call_queue.read_requests(announcement.address, lambda rows: self._on_requests_read(server.id, rows))
+            self._call_queue.read_requests(
+                announcement.address, lambda engine_requests: self._on_requests_read(server.id, engine_requests)
+            )
         server.drained = server.id in self._drained
         self._dispatcher.plain = announcement.role == "plain"
         self._index.record_announcement(server)
@@ -341,7 +343,7 @@
             server = self._index.by_id.get(server_id)
             if server is None:
                 return False
-            server.order_running = hold
+            server.held_for_order = hold
             self._index.update(server, self._clock.monotonic())
             return server.assigned == 0 and server.untracked == 0
 
--- a/libs/arbutusrill_pool/_policy.py
+++ b/libs/arbutusrill_pool/_policy.py
@@ -65,8 +65,8 @@
         if prefill is None or decode is None:
             return None
         uncached_tokens = request.prompt_tokens - request.cached_by_server.get(prefill.id, 0.0)
-        duration, wait = prefill.speed.prefill_duration_s(uncached_tokens), prefill.prefill_wait_s(now)
-        return Placement(prefill, decode, wait + duration, duration, wait, uncached_tokens)
+        prefill_s, wait_s = prefill.speed.prefill_duration_s(uncached_tokens), prefill.prefill_wait_s(now)
+        return Placement(prefill, decode, wait_s + prefill_s, prefill_s, wait_s, uncached_tokens)
 
     @abc.abstractmethod
     def choose_server(self, stage: str, request: PlacementRequest, index: ServerIndex, now: float) -> Server | None:
@@ -121,11 +121,11 @@
         if stage != "prefill":
             return min(servers, key=_reported_load, default=None)
 
-        def finish(server: Server) -> float:
+        def predicted_finish_s(server: Server) -> float:
             uncached_tokens = request.prompt_tokens - request.cached_by_server.get(server.id, 0.0)
             return server.prefill_wait_s(now) + server.speed.prefill_duration_s(uncached_tokens)
 
-        return min(servers, key=finish, default=None)
+        return min(servers, key=predicted_finish_s, default=None)
 
 
 class Reserving(PlacementPolicy):
@@ -150,23 +150,26 @@
         best_score, best = float("inf"), None
         for prefill in self._candidates("prefill", request, index, now):
             uncached_tokens = max(0.0, request.prompt_tokens - request.cached_by_server.get(prefill.id, 0.0))
-            wait, duration = prefill.prefill_wait_s(now), prefill.speed.prefill_duration_s(uncached_tokens)
+            wait_s, prefill_s = prefill.prefill_wait_s(now), prefill.speed.prefill_duration_s(uncached_tokens)
             distance_penalty_s = (
                 0.0 if prefill.announcement.data_centre == request.data_centre else CROSS_DATA_CENTRE_PENALTY_S
             )
-            for decode, gap, penalty in decodes:
+            for decode, gap_s, penalty in decodes:
                 if decode is prefill and prefill.assigned + 1 > prefill.announcement.slots:
                     continue
-                first = wait + duration + _transfer_s(prefill, decode, request.prompt_tokens) + gap
+                first_token_s = wait_s + prefill_s + _transfer_s(prefill, decode, request.prompt_tokens) + gap_s
                 crosses_data_centres = decode.announcement.data_centre != prefill.announcement.data_centre
                 score = (
-                    first
+                    first_token_s
                     + distance_penalty_s
                     + penalty
                     + (CROSS_DATA_CENTRE_PENALTY_S if crosses_data_centres else 0.0)
                 )
                 if score < best_score:
-                    best_score, best = score, Placement(prefill, decode, first, duration, wait, uncached_tokens)
+                    best_score, best = (
+                        score,
+                        Placement(prefill, decode, first_token_s, prefill_s, wait_s, uncached_tokens),
+                    )
         return best
 
     def _candidates(self, stage: str, request: PlacementRequest, index: ServerIndex, now: float) -> list[Server]:
@@ -188,14 +191,19 @@
         return others[: LOCAL_CANDIDATES + GLOBAL_CANDIDATES]
 
     def _decode_option(self, server: Server, index: ServerIndex) -> tuple[Server, float, float]:
-        gap = server.speed.token_gap_at(server.assigned + server.untracked + 1)
-        misses_target = gap > index.gap_target_s
+        """Returns a decode server, its predicted time between tokens with one more stream, and its score penalty."""
+        gap_s = server.speed.token_gap_at(server.assigned + server.untracked + 1)
+        misses_target = gap_s > index.gap_target_s
         # All streams of the batch gain from a shorter gap, so it counts like ten tokens of this stream.
-        return server, gap, 10 * gap + (_MISSED_GAP_PENALTY_S * gap / index.gap_target_s if misses_target else 0.0)
+        return (
+            server,
+            gap_s,
+            10 * gap_s + (_MISSED_GAP_PENALTY_S * gap_s / index.gap_target_s if misses_target else 0.0),
+        )
 
     def _plain_score(self, server: Server, request: PlacementRequest) -> float:
-        distance_penalty_s = 0.0 if server.announcement.data_centre == request.data_centre else 0.25
-        return (server.assigned + server.untracked) / server.announcement.slots + distance_penalty_s
+        distance_penalty = 0.0 if server.announcement.data_centre == request.data_centre else 0.25
+        return (server.assigned + server.untracked) / server.announcement.slots + distance_penalty
 
 
 def _transfer_s(prefill: Server, decode: Server, tokens: int) -> float:
--- a/libs/arbutusrill_pool/_renewals.py
+++ b/libs/arbutusrill_pool/_renewals.py
@@ -83,16 +83,16 @@
                 server.orphans = max(0, server.orphans - 1)
                 self._index.update(server, now)
 
-    def record_engine_requests(self, server_id: str, rows: list[EngineRequest] | None, now: float) -> None:
+    def record_engine_requests(self, server_id: str, engine_requests: list[EngineRequest] | None, now: float) -> None:
         """Records the requests on an engine that have no ticket as orphans, so that their slots stay taken."""
         server = self._index.by_id.get(server_id)
         if server is None:
             return
         server.requests_read = True
-        for row in rows or ():
-            if row.request_id not in self._allocations.allocation_by_ticket:
-                key = (server_id, row.request_id)
-                self._orphan_by_key[key] = _Orphan(row, server.announcement.address, now)
+        for engine_request in engine_requests or ():
+            if engine_request.request_id not in self._allocations.allocation_by_ticket:
+                key = (server_id, engine_request.request_id)
+                self._orphan_by_key[key] = _Orphan(engine_request, server.announcement.address, now)
         server.orphans = sum(1 for name, _ in self._orphan_by_key if name == server_id)
         self._index.update(server, now)
 
@@ -142,17 +142,22 @@
         if server is None or key[1] in self._allocations.allocation_by_ticket:
             del self._orphan_by_key[key]
             return
-        row = orphan.request
+        engine_request = orphan.request
         overdue = now - orphan.found_at > RENEWAL_TIMEOUT_S and len(server.announcement.pools) == 1
         if orphan.cancelling or not (
-            self._is_dead(row.vm, row.incarnation) or (overdue and self._has_renewed(row.vm, row.incarnation))
+            self._is_dead(engine_request.vm, engine_request.incarnation)
+            or (overdue and self._has_renewed(engine_request.vm, engine_request.incarnation))
         ):
             return
         orphan.cancelling = True
         self._log.warning(
-            "cancelling request %s on server %s: its VM has ended or does not renew it", row.request_id, key[0]
+            "cancelling request %s on server %s: its VM has ended or does not renew it",
+            engine_request.request_id,
+            key[0],
+        )
+        self._call_queue.cancel(
+            orphan.address, engine_request.request_id, lambda _: self._on_cancelled(engine_request.request_id, key[0])
         )
-        self._call_queue.cancel(orphan.address, row.request_id, lambda _: self._on_cancelled(row.request_id, key[0]))
 
     def forget_orphan(self, ticket: str, server_id: str, now: float) -> None:
         """Frees the slot of an orphan after its cancellation."""
--- a/libs/arbutusrill_pool/_server.py
+++ b/libs/arbutusrill_pool/_server.py
@@ -17,7 +17,7 @@
 DEFAULT_TOKEN_GAP_S = 0.02
 DEFAULT_BATCH_SLOWDOWN = 0.03
 _SMOOTHING_FACTOR = 0.2
-_DECAY_FACTOR = 0.02  # per announcement, which gives a half-life of 17 s
+_DECAY_FACTOR = 0.02  # per announcement; a half-life of 17 s at one announcement each 0.5 s
 PREFILL_SPEED_STALE_S = 10.0  # after this long without a prefill the measurements are out of date
 _MIN_SAMPLE_PREFILL_S = 0.015  # three times the overhead
 _PREFILL_OVERHEAD_S = 0.005  # connection, parsing and response, without computation
@@ -108,11 +108,11 @@
     assigned: int = 0
     reported_untracked: int = 0  # requests in the load report beyond those assigned
     orphans: int = 0  # requests listed by the engine that have no ticket
-    busy_until: float = 0.0
+    prefill_queue_ends_at: float = 0.0
     last_prefill_at: float = float("-inf")  # when the last prefill was assigned
     prefill_s_by_ticket: dict[str, float] = field(default_factory=dict)
     requests_read: bool = True  # False while a new owner still reads the engine's requests
-    order_running: bool = False
+    held_for_order: bool = False
     drained: bool = False  # by an operator's order
     next_cache_seq: int | None = None
     _assigned_peaks: tuple[float, int, int] = (0.0, 0, 0)  # period start, its peak of `assigned`, previous peak
@@ -138,7 +138,7 @@
             self.announcement.state == "ready"
             and now - self.announced_at < ANNOUNCEMENT_TIMEOUT_S
             and self.requests_read
-            and not self.order_running
+            and not self.held_for_order
             and not self.drained
             and not self.health.is_ejected(now)
         )
@@ -167,8 +167,8 @@
         Slots assigned by an earlier owner can exceed the number of slots, if the server has lowered it since.
         """
         self.assigned += 1
-        start, peak, before = self._assigned_peaks
-        self._assigned_peaks = (start, max(peak, self.assigned), before)
+        start, peak, previous_peak = self._assigned_peaks
+        self._assigned_peaks = (start, max(peak, self.assigned), previous_peak)
 
     def release_slot(self) -> None:
         """Releases one slot. Raises `AssertionError` if none is taken."""
@@ -177,7 +177,7 @@
 
     def enqueue_prefill(self, ticket: str, duration_s: float, now: float) -> None:
         """Appends a prefill to the server's queue."""
-        self.busy_until = now + self.prefill_wait_s(now) + duration_s
+        self.prefill_queue_ends_at = now + self.prefill_wait_s(now) + duration_s
         self.prefill_s_by_ticket[ticket] = duration_s
         self.last_prefill_at = now
 
@@ -185,7 +185,7 @@
         """Removes a prefill from the queue; returns False if it is not queued."""
         if self.prefill_s_by_ticket.pop(ticket, None) is None:
             return False
-        self.busy_until = min(self.busy_until, now + sum(self.prefill_s_by_ticket.values()))
+        self.prefill_queue_ends_at = min(self.prefill_queue_ends_at, now + sum(self.prefill_s_by_ticket.values()))
         return True
 
     def prefill_wait_s(self, now: float) -> float:
@@ -195,8 +195,8 @@
         """
         if not self.prefill_s_by_ticket:
             return 0.0
-        left = self.busy_until - now
-        return left if left > 0 else -0.25 * left
+        remaining_s = self.prefill_queue_ends_at - now
+        return remaining_s if remaining_s > 0 else -0.25 * remaining_s
 
     def accepts_prefill(self) -> bool:
         """Returns whether the prefill queue is short enough for another prefill.
@@ -219,12 +219,13 @@
         self.announced_at = now
         if now - self.last_prefill_at > PREFILL_SPEED_STALE_S:
             self.speed.decay_prefill_ratio()
-        start, peak, before = self._assigned_peaks
+        start, peak, previous_peak = self._assigned_peaks
         if now - start >= MAX_REPORT_AGE_S:
-            start, peak, before = now, self.assigned, peak
-            self._assigned_peaks = (start, peak, before)
-        limit = announcement.slots - 1  # one slot stays usable, or a wrong report would exclude the server for good
-        self.reported_untracked = max(0, min(limit, announcement.running - max(peak, before, self.assigned)))
+            start, peak, previous_peak = now, self.assigned, peak
+            self._assigned_peaks = (start, peak, previous_peak)
+        # One slot stays usable, or a wrong report would exclude the server for good.
+        limit = announcement.slots - 1
+        self.reported_untracked = max(0, min(limit, announcement.running - max(peak, previous_peak, self.assigned)))
 
     def load(self) -> int:
         """Returns the number of requests on the server: the reported or the assigned ones, whichever is more."""
--- a/libs/arbutusrill_pool/tests/model.py
+++ b/libs/arbutusrill_pool/tests/model.py
@@ -24,6 +24,8 @@
 
 @dataclass
 class Results:
+    """Times to first token, and retry times of the refusals, of one workspace."""
+
     first_token_s: list = field(default_factory=list)
     retry_after_ms: list = field(default_factory=list)
 
@@ -80,7 +82,7 @@
     def on_arrival(self, name):
         self.schedule_arrival(name, self.now())
         traffic, draw = self.traffic[name], self.random[name]
-        wanted = request(
+        acquire_request = request(
             f"{name}-{next(self.counter)}",
             name,
             weight=traffic.weight,
@@ -89,8 +91,8 @@
             prompt_tokens=int(min(20_000, draw.lognormvariate(0, 0.6) * traffic.prompt_tokens / 1.2)),
             output_tokens=traffic.output_tokens,
         )
-        self.waiting[wanted.ticket] = (wanted, self.now())
-        self.poll(wanted.ticket)
+        self.waiting[acquire_request.ticket] = (acquire_request, self.now())
+        self.poll(acquire_request.ticket)
 
     def poll_decided(self):
         tickets = self.pool.owner._dispatcher.ticket_by_id
@@ -98,29 +100,34 @@
             self.poll(ticket)
 
     def poll(self, ticket):
-        wanted, arrived = self.waiting[ticket]
-        reply = self.pool.owner.acquire(wanted)
+        acquire_request, arrived = self.waiting[ticket]
+        reply = self.pool.owner.acquire(acquire_request)
         if reply.status == "pending":
             return
         del self.waiting[ticket]
         if reply.status == "refused":
-            self.results[wanted.workspace].retry_after_ms.append(reply.retry_after_ms)
+            self.results[acquire_request.workspace].retry_after_ms.append(reply.retry_after_ms)
             return
         server = reply.assignment.prefill_server
         began = max(self.now(), self.busy_until[server])
-        self.busy_until[server] = began + wanted.prompt_tokens / 20_000
+        self.busy_until[server] = began + acquire_request.prompt_tokens / 20_000
         self.schedule(
-            self.busy_until[server], self.on_prefilled, wanted, arrived, self.now(), reply.assignment.decode_server
+            self.busy_until[server],
+            self.on_prefilled,
+            acquire_request,
+            arrived,
+            self.now(),
+            reply.assignment.decode_server,
         )
 
-    def on_prefilled(self, wanted, arrived, assigned, decode):
-        self.pool.owner.release(release(wanted.ticket, "prefilled", prefill_s=self.now() - assigned))
+    def on_prefilled(self, acquire_request, arrived, assigned, decode):
+        self.pool.owner.release(release(acquire_request.ticket, "prefilled", prefill_s=self.now() - assigned))
         self.batch[decode] += 1
         gap = 0.01 * (1 + 0.045 * (self.batch[decode] - 1))
-        self.results[wanted.workspace].first_token_s.append(self.now() + gap - arrived)
-        self.schedule(self.now() + gap * wanted.output_tokens, self.on_decoded, wanted, decode, gap)
+        self.results[acquire_request.workspace].first_token_s.append(self.now() + gap - arrived)
+        self.schedule(self.now() + gap * acquire_request.output_tokens, self.on_decoded, acquire_request, decode, gap)
 
-    def on_decoded(self, wanted, decode, gap):
+    def on_decoded(self, acquire_request, decode, gap):
         self.batch[decode] -= 1
-        tokens = wanted.output_tokens
-        self.pool.owner.release(release(wanted.ticket, "done", tokens=tokens, decode_s=gap * tokens))
+        tokens = acquire_request.output_tokens
+        self.pool.owner.release(release(acquire_request.ticket, "done", tokens=tokens, decode_s=gap * tokens))
--- a/libs/arbutusrill_pool/tests/support.py
+++ b/libs/arbutusrill_pool/tests/support.py
@@ -49,12 +49,12 @@
 
 
 class FakeEngines(EngineClient):
-    """Records cancellations and orders; `rows` holds the requests of each address."""
+    """Records cancellations and orders; `requests_by_address` holds the requests of each address."""
 
     def __init__(self):
         self.acknowledges = True
         self.cancelled = []
-        self.rows = {}
+        self.requests_by_address = {}
         self.orders = []
         self.order_answers = []
 
@@ -63,7 +63,7 @@
         return self.acknowledges
 
     def requests(self, address):
-        return self.rows.get(address, [])
+        return self.requests_by_address.get(address, [])
 
     def order(self, address, order):
         self.orders.append((address, order))
--- a/libs/arbutusrill_pool/tests/test_admission.py
+++ b/libs/arbutusrill_pool/tests/test_admission.py
@@ -33,18 +33,18 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_retry_after_matches_the_drain_of_a_loaded_pool(seed):
-    model = PoolSimulation({"w0": Traffic(60.0)}, seed)
-    seen = model.run(60)["w0"]
+    simulation = PoolSimulation({"w0": Traffic(60.0)}, seed)
+    results = simulation.run(60)["w0"]
     # At twice the capacity the queue stays at its limit, so a retry succeeds once the small excess has drained.
-    waits = sorted(seen.retry_after_ms)
+    waits = sorted(results.retry_after_ms)
     assert len(waits) > 500
     assert waits[len(waits) // 2] < 1000
 
 
 def test_admitted_requests_meet_the_target_under_overload():
-    seen = PoolSimulation({"w0": Traffic(60.0)}, 4).run(60)["w0"]
-    late = sum(1 for wait in seen.first_token_s if wait > 2.0)
-    assert late < 0.02 * len(seen.first_token_s)
+    results = PoolSimulation({"w0": Traffic(60.0)}, 4).run(60)["w0"]
+    late = sum(1 for wait in results.first_token_s if wait > 2.0)
+    assert late < 0.02 * len(results.first_token_s)
 
 
 def test_briefing_waits_where_an_interactive_request_is_refused():
--- a/libs/arbutusrill_pool/tests/test_failures.py
+++ b/libs/arbutusrill_pool/tests/test_failures.py
@@ -72,8 +72,8 @@
 
 def test_new_owner_gives_out_slots_only_after_reading_the_engines():
     pool = PoolFixture(announcement("p", "prefill"), announcement("d", slots=2), epoch=2)
-    rows = [EngineRequest(f"r{number}", "vm9", 1) for number in range(2)]
-    pool.engines.rows["http://d"] = rows
+    engine_requests = [EngineRequest(f"r{number}", "vm9", 1) for number in range(2)]
+    pool.engines.requests_by_address["http://d"] = engine_requests
     pool.pass_time(1.2)
     assert pool.acquire("t").status == "pending"
     pool.dead.add(("vm9", 1))
@@ -84,7 +84,7 @@
 
 def test_request_on_an_engine_that_its_vm_does_not_renew_is_cancelled():
     pool = PoolFixture(announcement("p", "prefill"), announcement("d", slots=2), epoch=2)
-    pool.engines.rows["http://d"] = [EngineRequest("orphan", "vm1", 7)]
+    pool.engines.requests_by_address["http://d"] = [EngineRequest("orphan", "vm1", 7)]
     pool.pass_time(1.6, [messages.HeldTicket("x", "other-pool", None, "a", "decode")])
     assert ("http://d", "orphan") in pool.engines.cancelled
 
@@ -176,7 +176,7 @@
 
 def test_vm_that_owns_nothing_cancels_requests_of_a_dead_vm_on_the_runners_it_hears():
     engines = FakeEngines()
-    engines.rows["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("alive", "vm3", 8)]
+    engines.requests_by_address["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("alive", "vm3", 8)]
     directory = directory_with(engines)
     directory.saw(announcement("d"))
     directory.reconcile([], [vm("vm1", 7), vm("vm3", 8)])
@@ -191,7 +191,7 @@
 def test_runner_that_turns_to_this_vm_after_a_death_is_asked_too():
     """A runner announces itself to another VM only after its timeout for the frozen one (bin/proof gone --seed 3)."""
     engines = FakeEngines()
-    engines.rows["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("alive", "vm3", 8)]
+    engines.requests_by_address["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("alive", "vm3", 8)]
     directory = directory_with(engines)
     directory.reconcile([], [vm("vm1", 7), vm("vm3", 8)])
     directory.reconcile([], [vm("vm1", 7, "dead"), vm("vm3", 8)])
@@ -205,7 +205,7 @@
 
 def test_replaced_incarnation_counts_as_dead():
     engines = FakeEngines()
-    engines.rows["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("new", "vm1", 9)]
+    engines.requests_by_address["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("new", "vm1", 9)]
     directory = directory_with(engines)
     directory.saw(announcement("d"))
     directory.reconcile([], [vm("vm1", 7)])
--- a/libs/arbutusrill_pool/tests/test_fair_queue.py
+++ b/libs/arbutusrill_pool/tests/test_fair_queue.py
@@ -12,10 +12,10 @@
     names = [f"w{number}" for number in range(5)]
     traffic = {name: Traffic(rate, output_tokens=output_tokens) for name in names}
     traffic["w0"] = Traffic(rate * factor, output_tokens=output_tokens)
-    seen = PoolSimulation(traffic, seed).run(200)
-    waits = sorted(wait for name in names[1:] for wait in seen[name].first_token_s)
-    refused = sum(len(seen[name].retry_after_ms) for name in names[1:])
-    return waits[int(0.95 * len(waits))], refused, len(seen["w0"].first_token_s)
+    results = PoolSimulation(traffic, seed).run(200)
+    waits = sorted(wait for name in names[1:] for wait in results[name].first_token_s)
+    refused = sum(len(results[name].retry_after_ms) for name in names[1:])
+    return waits[int(0.95 * len(waits))], refused, len(results["w0"].first_token_s)
 
 
 @pytest.mark.parametrize(("rate", "output_tokens"), [(2.5, 150), (2.0, 400)], ids=["prefill-bound", "decode-bound"])
@@ -28,8 +28,8 @@
 
 
 def test_a_workspace_alone_uses_the_whole_pool():
-    model = PoolSimulation({"w0": Traffic(40.0)}, 3)
-    served = model.run(60)["w0"].first_token_s
+    simulation = PoolSimulation({"w0": Traffic(40.0)}, 3)
+    served = simulation.run(60)["w0"].first_token_s
     assert len(served) > 0.85 * 60 * 4 * 20_000 / 3000  # of the capacity of four prefill servers
 
 
@@ -64,18 +64,18 @@
         "w0": Traffic(3.0),
         "w1": Traffic(20.0, latency_class="briefing", deadline_ms=120_000),
     }
-    model = PoolSimulation(traffic, 5)
-    seen = model.run(120)
-    assert seen["w0"].retry_after_ms == []
-    assert seen["w0"].quantile(0.95) < 2.0
-    assert len(seen["w1"].first_token_s) > 1000
+    simulation = PoolSimulation(traffic, 5)
+    results = simulation.run(120)
+    assert results["w0"].retry_after_ms == []
+    assert results["w0"].quantile(0.95) < 2.0
+    assert len(results["w1"].first_token_s) > 1000
 
 
 def test_briefing_that_is_nearly_due_is_placed_before_new_interactive_requests():
     traffic = {"w0": Traffic(30.0), "w1": Traffic(0.2, latency_class="briefing", deadline_ms=8000)}
-    seen = PoolSimulation(traffic, 6).run(120)
-    assert len(seen["w1"].first_token_s) > 10
-    assert seen["w1"].retry_after_ms == []
+    results = PoolSimulation(traffic, 6).run(120)
+    assert len(results["w1"].first_token_s) > 10
+    assert results["w1"].retry_after_ms == []
 
 
 def test_backlog_of_a_workspace_beyond_its_share_does_not_get_others_refused():
