--- a/libs/arbutusrill_pool/tests/test_speed.py
+++ b/libs/arbutusrill_pool/tests/test_speed.py
@@ -1,19 +1,19 @@
-"""Tests of the speed that the owner learns of a server."""
+"""Guards against speed estimates that drift away from the real speed of a server."""
 
-from arbutusrill_pool._server import Speed
+from arbutusrill_pool._server import SpeedEstimate
 
 
-def learnt(tokens, seen_s, count):
-    speed = Speed(10_000.0, 0.014)
+def trained(tokens, measured_s, count):
+    speed = SpeedEstimate(10_000.0, 0.014)
     for _ in range(count):
-        speed.learn_prefill(speed.prefill_s(tokens), seen_s)
+        speed.observe_prefill(speed.prefill_duration_s(tokens), measured_s)
     return speed
 
 
 def test_short_prompts_do_not_make_a_server_look_slow():
-    """Seen: six prefills of 2 tokens in 12 ms each raised the ratio to 3.75, since the fixed part hardly changes."""
-    assert learnt(2, 0.012, 40).prefill_s(1000) < 0.2
+    """Six prefills of 2 tokens, 12 ms each, once raised `prefill_ratio` to 3.75, since most of the time is overhead."""
+    assert trained(2, 0.012, 40).prefill_duration_s(1000) < 0.2
 
 
 def test_a_slow_server_is_learnt_from_long_prompts():
-    assert 0.25 < learnt(1000, 0.3, 40).prefill_s(1000) < 0.35
+    assert 0.25 < trained(1000, 0.3, 40).prefill_duration_s(1000) < 0.35
