--- a/libs/arbutusrill_standins/__init__.py
+++ b/libs/arbutusrill_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for model engines and plain services, for the demo, the tests and the bench."""
+"""Simulated model engines and plain services, used as backend servers by the demo, the tests and the benchmark."""
 
 from ._announcer import Announcer
 
--- a/libs/arbutusrill_standins/_announcer.py
+++ b/libs/arbutusrill_standins/_announcer.py
@@ -1,4 +1,4 @@
-"""Repeats the announcement of a stand-in to the entry VMs, and sends its cache events."""
+"""Periodic announcements and cache events from a stand-in to the entry VMs."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 from ._prefix_cache import CacheChanges
 
-__all__ = ["Announcer", "CacheEventSender", "LaggedReport"]
+__all__ = ["Announcer", "CacheEventSender", "DelayedLoadReport"]
 
-PERIOD_S = 0.5
-_RETRY_S = 0.1
+ANNOUNCE_INTERVAL_S = 0.5
+_RETRY_INTERVAL_S = 0.1
 
 
-class _EntryCaller:
-    """Posts to one entry VM for as long as it answers, else to the next one."""
+class _EntryClient:
+    """HTTP client of the entry VMs; fails over to the next one after a failed call."""
 
     def __init__(self, entries: list[str], token: str):
         self._entries = list(entries)
@@ -29,28 +29,31 @@
         random.shuffle(self._entries)
 
     def post(self, path: str, value: dict[str, Any]) -> dict[str, Any] | None:
-        """Returns the answer's JSON object, or None when there was none."""
+        """Posts `value` as JSON; returns the response object, or None if the call failed.
+
+        A response with status 200 that is not a JSON object counts as empty.
+        """
         url = f"http://{self._entries[0]}{path}"
         result = fetch(Transfer("POST", url, self._headers, json.dumps(value).encode(), timeout_s=1.0))
         if not result.whole or result.status != 200:
             self._entries.append(self._entries.pop(0))
             return None
         try:
-            answer = json.loads(result.body or b"{}")
+            response = json.loads(result.body or b"{}")
         except ValueError:
             return {}
-        return answer if isinstance(answer, dict) else {}
+        return response if isinstance(response, dict) else {}
 
 
-class _Repeater:
-    """Runs `step` in a thread until the context ends; `step` returns how long to wait, in seconds."""
+class _PeriodicThread:
+    """Calls `step` in a daemon thread until the context ends; `step` returns the delay to the next call in seconds."""
 
     def __init__(self, name: str, step: Callable[[], float]):
         self._step = step
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
 
-    def __enter__(self) -> _Repeater:
+    def __enter__(self) -> _PeriodicThread:
         self._thread.start()
         return self
 
@@ -63,27 +66,28 @@
             pass
 
 
-class Announcer(_Repeater):
+class Announcer(_PeriodicThread):
     """Announces a backend server to one of `entries` every half second until the context ends.
 
-    `describe` returns the announcement as a JSON object each time.
+    `describe` is called for each announcement and returns it as a JSON object.
     """
 
     def __init__(self, entries: list[str], token: str, describe: Callable[[], dict[str, Any]]):
-        caller = _EntryCaller(entries, token)
+        client = _EntryClient(entries, token)
 
         def announce() -> float:
-            answer = caller.post("/backends/announce", describe())
-            return PERIOD_S if answer is not None else _RETRY_S
+            response = client.post("/backends/announce", describe())
+            return ANNOUNCE_INTERVAL_S if response is not None else _RETRY_INTERVAL_S
 
         super().__init__("announcer", announce)
 
 
-class CacheEventSender(_Repeater):
-    """Sends the changes of a prefix cache every `lag_s`, and its whole content when the receiver asks for it.
+class CacheEventSender(_PeriodicThread):
+    """Sends the changes of a prefix cache every `lag_s` seconds.
 
-    `take` returns the changes since the last call, `full` the whole content, `lost` whether a message is
-    to be lost on its way. The receiver asks for the content by answering ``{"accepted": false}``.
+    `take_changes` returns the changes since its last call, `snapshot` the whole content, and `should_drop`
+    whether to drop the next message. The whole content is sent after a failed call, and after the response
+    ``{"accepted": false}``, by which the receiver requests it.
     """
 
     def __init__(
@@ -92,27 +96,27 @@
         token: str,
         identity: dict[str, Any],
         lag_s: float,
-        take: Callable[[], CacheChanges | None],
-        full: Callable[[], CacheChanges],
-        lost: Callable[[], bool],
+        take_changes: Callable[[], CacheChanges | None],
+        snapshot: Callable[[], CacheChanges],
+        should_drop: Callable[[], bool],
     ):
-        self._caller = _EntryCaller(entries, token)
+        self._client = _EntryClient(entries, token)
         self._identity = identity
-        self._full = full
-        self._again = False
+        self._snapshot = snapshot
+        self._resync_needed = False
 
         def send() -> float:
-            changes = self._full() if self._again else take()
-            if changes is not None and not lost():
-                answer = self._caller.post("/backends/cache-events", cache_message(identity, changes))
-                self._again = answer is None or answer.get("accepted") is False
+            changes = self._snapshot() if self._resync_needed else take_changes()
+            if changes is not None and not should_drop():
+                response = self._client.post("/backends/cache-events", cache_events_message(identity, changes))
+                self._resync_needed = response is None or response.get("accepted") is False
             return lag_s
 
         super().__init__("cache-events", send)
 
 
-def cache_message(identity: dict[str, Any], changes: CacheChanges) -> dict[str, Any]:
-    """Returns cache changes as the JSON object that is sent to the router."""
+def cache_events_message(identity: dict[str, Any], changes: CacheChanges) -> dict[str, Any]:
+    """Returns the JSON object that reports cache changes of the engine `identity` to the router."""
     return {
         **identity,
         "first_seq": changes.first_seq,
@@ -122,8 +126,8 @@
     }
 
 
-class LaggedReport:
-    """Load reports that are `lag_s` old when they are read. Safe to use from many threads."""
+class DelayedLoadReport:
+    """Load measurements that are readable only after `lag_s` seconds. Thread-safe."""
 
     def __init__(self, lag_s: float, measure: Callable[[], tuple[int, int]]):
         self._lag_s = lag_s
@@ -132,16 +136,16 @@
         self._samples: deque[tuple[float, tuple[int, int]]] = deque()
 
     def sample(self) -> None:
-        """Takes a measurement; to be called several times within the lag."""
+        """Records a measurement; must be called several times per `lag_s` to keep readings close to that age."""
         with self._lock:
             self._samples.append((time.monotonic(), self._measure()))
 
     def read(self) -> tuple[int, int]:
-        """Returns the newest measurement that is at least `lag_s` old, else zeros."""
-        limit = time.monotonic() - self._lag_s
+        """Returns the newest measurement that is at least `lag_s` old, or zeros if there is none."""
+        latest_readable = time.monotonic() - self._lag_s
         with self._lock:
-            while len(self._samples) > 1 and self._samples[1][0] <= limit:
+            while len(self._samples) > 1 and self._samples[1][0] <= latest_readable:
                 self._samples.popleft()
-            if self._samples and self._samples[0][0] <= limit:
+            if self._samples and self._samples[0][0] <= latest_readable:
                 return self._samples[0][1]
             return 0, 0
--- a/libs/arbutusrill_standins/_faults.py
+++ b/libs/arbutusrill_standins/_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a stand-in, switched on by a command over HTTP."""
+"""Fault injection for the engine stand-in, controlled over HTTP."""
 
 from __future__ import annotations
 
@@ -11,46 +11,48 @@
 
 from arbutusrill_http import AbortStreamError, caller_gone
 
-__all__ = ["FAULT_KINDS", "FaultSwitch"]
+__all__ = ["FAULT_KINDS", "FaultInjector"]
 
 FAULT_KINDS = ("stall", "silence", "crash", "slow", "late", "cross", "cut", "refuse", "drop_cache_events", "clear")
-_LONGEST_S = 3600.0
-_CHECK_S = 0.1
-
-
-class FaultSwitch:
-    """Decides what goes wrong, and when. Safe to use from many threads.
-
-    Command ``{"kind": ..., "for_s": ..., "count": ..., "connections": ..., "factor": ..., "delay_s": ...}``:
-
-    - ``stall``: no progress on any request for `for_s`; everything continues afterwards.
-    - ``silence``: no byte is written any more, on the ``existing`` connections or on ``all`` that are open or
-      opened within `for_s`; reading goes on.
-    - ``crash``: the process ends without any clean-up.
-    - ``slow``: everything takes `factor` times as long, for `for_s`.
-    - ``late``: the next `count` answers come `delay_s` later.
-    - ``cross``: the next `count` answers carry another request's id.
-    - ``cut``: the next `count` streams, and with ``"running": true`` also the running ones, break without end mark.
-    - ``refuse``: status 503 for every request for `for_s`.
-    - ``drop_cache_events``: the next `count` messages with cache events are lost.
-    - ``clear``: ends all faults.
+_MAX_FAULT_S = 3600.0
+_POLL_INTERVAL_S = 0.1
+
+
+class FaultInjector:
+    """Holds the injected faults and their expiry times or remaining counts. Thread-safe.
+
+    A fault command is a JSON object with ``kind`` and, depending on the kind, ``for_s``, ``count``, ``connections``,
+    ``running``, ``factor`` or ``delay_s``:
+
+    - ``stall``: prefill and decode make no progress for `for_s`, then continue.
+    - ``silence``: nothing is written to the ``existing`` connections, or to ``all`` connections that are open or
+      opened within `for_s`; requests are still read. A silenced connection stays silenced until ``clear``.
+    - ``crash``: the process exits at once, without cleanup.
+    - ``slow``: prefill and decode take `factor` times as long for `for_s`.
+    - ``late``: the next `count` responses are delayed by `delay_s`.
+    - ``cross``: the next `count` responses carry a wrong request id.
+    - ``cut``: the next `count` streams, and with ``"running": true`` also the running ones, are closed without the
+      end event.
+    - ``refuse``: every request gets status 503 for `for_s`.
+    - ``drop_cache_events``: the next `count` messages with cache events are not sent.
+    - ``clear``: removes all faults.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._connections: weakref.WeakSet[socket.socket] = weakref.WeakSet()
-        self._clear()
+        self._reset()
 
-    def _clear(self) -> None:
+    def _reset(self) -> None:
         self._until_by_kind: dict[str, float] = {}
         self._count_by_kind: dict[str, int] = {}
         self._silenced: weakref.WeakSet[socket.socket] = weakref.WeakSet()
-        self._factor = 1.0
-        self._delay_s = 0.0
-        self.cut_before = 0.0  # streams begun before this moment are cut
+        self._slowdown_factor = 1.0
+        self._response_delay_s = 0.0
+        self.cut_attached_before = 0.0  # monotonic time; streams attached to their connection earlier are cut
 
-    def command(self, body: dict[str, Any]) -> None:
-        """Switches a fault on; raises `ValueError` for an unknown kind."""
+    def apply(self, body: dict[str, Any]) -> None:
+        """Applies a fault command; raises `ValueError` for an unknown kind."""
         kind = body.get("kind")
         if kind not in FAULT_KINDS:
             raise ValueError(f"kind must be one of {', '.join(FAULT_KINDS)}")
@@ -59,63 +61,63 @@
         now = time.monotonic()
         with self._lock:
             if kind == "clear":
-                self._clear()
+                self._reset()
             elif kind in ("late", "cross", "cut", "drop_cache_events"):
                 self._count_by_kind[kind] = int(body.get("count", 1))
-                self._delay_s = float(body.get("delay_s", 1.0))
+                self._response_delay_s = float(body.get("delay_s", 1.0))
                 if kind == "cut" and body.get("running"):
-                    self.cut_before = now
+                    self.cut_attached_before = now
             elif kind == "silence" and body.get("connections", "all") == "existing":
                 self._silenced.update(self._connections)
             else:
-                self._until_by_kind[kind] = now + float(body.get("for_s", _LONGEST_S))
-                self._factor = float(body.get("factor", self._factor))
+                self._until_by_kind[kind] = now + float(body.get("for_s", _MAX_FAULT_S))
+                self._slowdown_factor = float(body.get("factor", self._slowdown_factor))
 
-    def note_connection(self, connection: socket.socket) -> None:
-        """Remembers a connection, and silences it while all connections are silent."""
+    def track_connection(self, connection: socket.socket) -> None:
+        """Registers a connection and silences it if a ``silence`` fault covers all connections."""
         with self._lock:
             self._connections.add(connection)
             if time.monotonic() < self._until_by_kind.get("silence", 0):
                 self._silenced.add(connection)
 
-    def silent(self, connection: socket.socket) -> bool:
-        """Says whether nothing may be written to a connection."""
+    def is_silenced(self, connection: socket.socket) -> bool:
+        """Returns whether writes to a connection are suppressed."""
         with self._lock:
             if time.monotonic() < self._until_by_kind.get("silence", 0):
                 self._silenced.update(self._connections)
             return connection in self._silenced
 
-    def hold(self, connection: socket.socket) -> None:
-        """Keeps a silent connection open until its peer closes it, then raises `AbortStreamError`."""
-        deadline = time.monotonic() + _LONGEST_S
+    def hold_open(self, connection: socket.socket) -> None:
+        """Blocks until the peer closes a silenced connection, at most one hour, then raises `AbortStreamError`."""
+        deadline = time.monotonic() + _MAX_FAULT_S
         while time.monotonic() < deadline and not caller_gone(connection):
-            time.sleep(_CHECK_S)
+            time.sleep(_POLL_INTERVAL_S)
         raise AbortStreamError
 
-    def refusing(self) -> bool:
-        """Says whether every request is refused."""
+    def is_refusing(self) -> bool:
+        """Returns whether a ``refuse`` fault is active."""
         with self._lock:
             return time.monotonic() < self._until_by_kind.get("refuse", 0)
 
-    def slowdown(self) -> float:
-        """Returns the factor by which everything takes longer at the moment."""
+    def slowdown_factor(self) -> float:
+        """Returns the factor by which prefill and decode are slowed at present; 1 without a fault."""
         with self._lock:
-            return self._factor if time.monotonic() < self._until_by_kind.get("slow", 0) else 1.0
+            return self._slowdown_factor if time.monotonic() < self._until_by_kind.get("slow", 0) else 1.0
 
     def stalled_until(self) -> float:
-        """Returns the end of the stall on the monotonic clock, or 0."""
+        """Returns the end of the latest stall as monotonic time, or 0 without any."""
         with self._lock:
             return self._until_by_kind.get("stall", 0.0)
 
-    def take(self, kind: str) -> bool:
-        """Uses up one of the faults that were ordered by number."""
+    def consume(self, kind: str) -> bool:
+        """Consumes one use of a counted fault; returns False when none is left."""
         with self._lock:
-            left = self._count_by_kind.get(kind, 0)
-            self._count_by_kind[kind] = max(0, left - 1)
-            return left > 0
-
-    def answer_id(self, request_id: str) -> str:
-        """Waits if the answer is to come late, and returns the id that it carries."""
-        if self.take("late"):
-            time.sleep(self._delay_s)
-        return "req-" + "0" * 26 if self.take("cross") else request_id
+            remaining = self._count_by_kind.get(kind, 0)
+            self._count_by_kind[kind] = max(0, remaining - 1)
+            return remaining > 0
+
+    def apply_response_faults(self, request_id: str) -> str:
+        """Delays a ``late`` response and returns the request id that the response must carry."""
+        if self.consume("late"):
+            time.sleep(self._response_delay_s)
+        return "req-" + "0" * 26 if self.consume("cross") else request_id
--- a/libs/arbutusrill_standins/_link.py
+++ b/libs/arbutusrill_standins/_link.py
@@ -1,4 +1,4 @@
-"""A link of limited rate whose transfers share it evenly."""
+"""Simulated network link with processor sharing between its transfers."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 __all__ = ["LinkTransfer", "SharedLink"]
 
-_CHECK_S = 0.02
+_POLL_INTERVAL_S = 0.02
 
 
 @dataclass(slots=True, eq=False)
 class LinkTransfer:
-    """One transfer: it progresses from when it was begun, whether or not anyone waits for it."""
+    """One transfer; it progresses from its start, whether or not a thread waits for it."""
 
     remaining_bytes: float
 
 
 class SharedLink:
-    """Divides `bytes_per_s` evenly between the transfers under way (processor sharing)."""
+    """Link of `bytes_per_s` whose bandwidth is shared equally by the active transfers. Thread-safe."""
 
     def __init__(self, bytes_per_s: float):
-        self._rate = bytes_per_s
+        self._bytes_per_s = bytes_per_s
         self._lock = threading.Lock()
         self._active: list[LinkTransfer] = []
-        self._updated = time.monotonic()
+        self._updated_at = time.monotonic()
 
-    def begin(self, size_bytes: float) -> LinkTransfer:
+    def start(self, size_bytes: float) -> LinkTransfer:
         """Starts a transfer of `size_bytes`."""
         transfer = LinkTransfer(size_bytes)
         with self._lock:
@@ -36,37 +36,38 @@
             self._active.append(transfer)
         return transfer
 
-    def wait(self, transfer: LinkTransfer, stopped: Callable[[], bool]) -> bool:
-        """Waits for the end of a transfer; returns False when `stopped()` became true first."""
+    def wait(self, transfer: LinkTransfer, should_stop: Callable[[], bool]) -> bool:
+        """Waits until a transfer completes; stops it and returns False if `should_stop()` is true before."""
         while True:
             with self._lock:
                 self._advance()
                 if transfer.remaining_bytes <= 0:
                     return True
-                pause = transfer.remaining_bytes * len(self._active) / self._rate
-            if stopped():
-                self.end(transfer)
+                remaining_s = transfer.remaining_bytes * len(self._active) / self._bytes_per_s
+            if should_stop():
+                self.stop(transfer)
                 return False
-            time.sleep(min(pause, _CHECK_S))
+            time.sleep(min(remaining_s, _POLL_INTERVAL_S))
 
-    def end(self, transfer: LinkTransfer) -> None:
-        """Gives up a transfer, so that it no longer takes a share."""
+    def stop(self, transfer: LinkTransfer) -> None:
+        """Stops a transfer and frees its share of the link; does nothing if it has completed."""
         with self._lock:
             self._advance()
             if transfer in self._active:
                 self._active.remove(transfer)
 
     def _advance(self) -> None:
-        """Spreads the time since the last call over the transfers, in the order in which they end."""
+        """Distributes the bytes sent since the last call over the active transfers, shortest remaining first."""
         now = time.monotonic()
-        budget = (now - self._updated) * self._rate
-        self._updated = now
-        while self._active and budget > 0:
-            least = min(transfer.remaining_bytes for transfer in self._active)
-            step = min(least, budget / len(self._active))
-            budget -= step * len(self._active)
+        budget_bytes = (now - self._updated_at) * self._bytes_per_s
+        self._updated_at = now
+        while self._active and budget_bytes > 0:
+            smallest_bytes = min(transfer.remaining_bytes for transfer in self._active)
+            share_bytes = min(smallest_bytes, budget_bytes / len(self._active))
+            budget_bytes -= share_bytes * len(self._active)
             for transfer in self._active:
-                transfer.remaining_bytes -= step
-            if step < least:
+                transfer.remaining_bytes -= share_bytes
+            if share_bytes < smallest_bytes:
                 return
+            # Remainders of at most 1e-6 bytes are rounding errors of completed transfers.
             self._active = [transfer for transfer in self._active if transfer.remaining_bytes > 1e-6]
--- a/libs/arbutusrill_standins/_prefill.py
+++ b/libs/arbutusrill_standins/_prefill.py
@@ -1,4 +1,4 @@
-"""Prefill of an engine: one prompt at a time, and the KV cache entries that it leaves."""
+"""Simulated prefill of one prompt at a time, and the store of the resulting KV cache entries."""
 
 from __future__ import annotations
 
@@ -12,81 +12,84 @@
 from arbutusrill_base import new_request_id
 
 from ._counters import Counters
-from ._faults import FaultSwitch
-from ._held import Held, HeldTable
+from ._faults import FaultInjector
+from ._request_table import ActiveRequest, RequestTable
 
 __all__ = ["KvEntry", "KvStore", "PrefillQueue", "output_mark"]
 
-_MARK = re.compile(r"\[\[(\w+)\]\]")
-_CHECK_S = 0.05
-_CATCH_UP_S = 0.05  # a late wake-up up to this long does not cost the engine any time
+_MARK_PATTERN = re.compile(r"\[\[(\w+)\]\]")
+_POLL_INTERVAL_S = 0.05
+_MAX_WAKE_UP_DELAY_S = 0.05  # a shorter delay after a prefill counts as a late wake-up, not as idle time
 
 
 class PrefillQueue:
-    """Gives the engine to one prefill after the other: higher priority first, then the earlier."""
+    """Runs one prefill chunk at a time: highest priority first, then first come, first served. Thread-safe."""
 
-    def __init__(self, faults: FaultSwitch):
+    def __init__(self, faults: FaultInjector):
         self._faults = faults
         self._changed = threading.Condition()
-        self._waiting: list[tuple[int, int]] = []
-        self._numbers = itertools.count()
-        self._busy = False
+        self._waiting_keys: list[tuple[int, int]] = []
+        self._arrival_numbers = itertools.count()
+        self._is_busy = False
         self._free_at = 0.0
 
-    def run(self, seconds: float, pieces: int, priority: int, stopped: Callable[[], bool]) -> float:
-        """Takes `seconds` of the engine in equal `pieces`; returns the part that was done, 1 when whole."""
-        place = (-priority, next(self._numbers))
-        for piece in range(pieces):
-            if not self._take(place, stopped):
-                return piece / pieces
-            done = self._work(seconds / pieces, stopped)
+    def run(self, seconds: float, chunks: int, priority: int, should_stop: Callable[[], bool]) -> float:
+        """Occupies the engine for `seconds` in equal `chunks`; returns the fraction completed, 1 unless stopped."""
+        queue_key = (-priority, next(self._arrival_numbers))
+        for chunk in range(chunks):
+            if not self._acquire(queue_key, should_stop):
+                return chunk / chunks
+            fraction = self._occupy(seconds / chunks, should_stop)
             with self._changed:
-                self._busy = False
+                self._is_busy = False
                 self._changed.notify_all()
-            if done < 1:
-                return (piece + done) / pieces
+            if fraction < 1:
+                return (chunk + fraction) / chunks
         return 1.0
 
-    def _take(self, place: tuple[int, int], stopped: Callable[[], bool]) -> bool:
+    def _acquire(self, queue_key: tuple[int, int], should_stop: Callable[[], bool]) -> bool:
         with self._changed:
-            self._waiting.append(place)
+            self._waiting_keys.append(queue_key)
             try:
-                while self._busy or min(self._waiting) != place:
-                    if stopped():
+                while self._is_busy or min(self._waiting_keys) != queue_key:
+                    if should_stop():
                         return False
-                    self._changed.wait(_CHECK_S)
-                self._busy = True
+                    self._changed.wait(_POLL_INTERVAL_S)
+                self._is_busy = True
             finally:
-                self._waiting.remove(place)
+                self._waiting_keys.remove(queue_key)
                 self._changed.notify_all()
         return True
 
-    def _work(self, seconds: float, stopped: Callable[[], bool]) -> float:
+    def _occupy(self, seconds: float, should_stop: Callable[[], bool]) -> float:
         now = time.monotonic()
-        start = self._free_at if now - self._free_at < _CATCH_UP_S else now
-        seconds *= self._faults.slowdown()
+        start = self._free_at if now - self._free_at < _MAX_WAKE_UP_DELAY_S else now
+        seconds *= self._faults.slowdown_factor()
         end = start + seconds
         while True:
-            stall = self._faults.stalled_until()
+            stalled_until = self._faults.stalled_until()
             now = time.monotonic()
-            if stall > now:
-                end += min(stall - now, _CHECK_S)
+            if stalled_until > now:
+                end += min(stalled_until - now, _POLL_INTERVAL_S)
             if now >= end:
                 self._free_at = end
                 return 1.0
-            if stopped():
+            if should_stop():
                 self._free_at = now
                 return max(0.0, min(0.999, 1 - (end - now) / seconds))
-            time.sleep(min(end - now, _CHECK_S))
+            time.sleep(min(end - now, _POLL_INTERVAL_S))
 
 
 def output_mark(prompt: str) -> tuple[str, int]:
-    """Returns the mark of a prompt and the number of the first token that is still to come.
+    """Returns the label that the output of a prompt repeats, and the number of its first token.
+
+    The label is the last ``[[...]]`` of the prompt. Numbering continues after output of an earlier attempt
+    at the end of the prompt.
 
     >>> output_mark("Summarise [[r7]] route 7."), output_mark("Route [[r7]] r7.0 r7.1 "), output_mark("none")
     (('r7', 0), ('r7', 2), ('', 0))
     """
-    marks = _MARK.findall(prompt)
+    marks = _MARK_PATTERN.findall(prompt)
     if not marks:
         return "", 0
     numbers = re.findall(rf"\b{marks[-1]}\.(\d+) ", prompt)
@@ -95,60 +98,60 @@
 
 @dataclass(slots=True, eq=False)
 class KvEntry:
-    """KV cache of one prompt, kept until it is used or its time is over. `mark` is what the output repeats.
+    """KV cache of one prompt, kept until it is used, is cancelled or expires at monotonic time `expires_at`.
 
-    The output begins with number `mark_from`, which is above 0 when the prompt ends with output of an
-    earlier attempt.
+    `mark` is the label that the output repeats. The output starts with number `mark_from`, which is above 0
+    when the prompt ends with output of an earlier attempt.
     """
 
-    held: Held
+    request: ActiveRequest
     tokens: int
-    computed: int
+    computed_tokens: int
     mark: str
-    expires: float
+    expires_at: float
     mark_from: int = 0
     handle: str = field(default_factory=lambda: new_request_id("kv"))
 
 
 class KvStore:
-    """The KV cache entries of an engine by handle; entries that nobody uses count as wasted prefill."""
+    """KV cache entries of an engine by handle; unused entries count as wasted prefill. Thread-safe."""
 
-    def __init__(self, table: HeldTable, counters: Counters):
-        self._table = table
+    def __init__(self, request_table: RequestTable, counters: Counters):
+        self._request_table = request_table
         self._counters = counters
         self._lock = threading.Lock()
         self._entry_by_handle: dict[str, KvEntry] = {}
 
     def put(self, entry: KvEntry) -> None:
-        """Keeps an entry until it expires."""
+        """Stores an entry under its handle."""
         with self._lock:
             self._entry_by_handle[entry.handle] = entry
 
     def claim(self, handle: str, request_id: str) -> KvEntry | None:
-        """Takes an entry out for use, or returns None when it is gone or another request's."""
+        """Removes and returns an entry for use; None if it is gone, cancelled or of another request."""
         with self._lock:
             entry = self._entry_by_handle.get(handle)
-            if entry is None or entry.held.request_id != request_id or entry.held.cancelled.is_set():
+            if entry is None or entry.request.request_id != request_id or entry.request.cancelled.is_set():
                 return None
             return self._entry_by_handle.pop(handle)
 
-    def finish(self, entry: KvEntry, used: bool) -> None:
-        """Frees a claimed entry and counts what became of its prefill."""
-        self._table.leave(entry.held)
+    def release(self, entry: KvEntry, used: bool) -> None:
+        """Releases the request of an entry removed from the store; counts its prefill as wasted unless `used`."""
+        self._request_table.release(entry.request)
         if not used:
-            self._counters.add("prefill_tokens_wasted", entry.computed)
+            self._counters.add("prefill_tokens_wasted", entry.computed_tokens)
 
     def sweep(self) -> None:
-        """Frees the entries that have expired or were cancelled."""
+        """Removes the entries that have expired or were cancelled."""
         now = time.monotonic()
         with self._lock:
-            over = [
+            expired = [
                 entry
                 for entry in self._entry_by_handle.values()
-                if now >= entry.expires or entry.held.cancelled.is_set()
+                if now >= entry.expires_at or entry.request.cancelled.is_set()
             ]
-            for entry in over:
+            for entry in expired:
                 del self._entry_by_handle[entry.handle]
-        for entry in over:
-            self._counters.add("kv_expired" if now >= entry.expires else "kv_cancelled")
-            self.finish(entry, used=False)
+        for entry in expired:
+            self._counters.add("kv_expired" if now >= entry.expires_at else "kv_cancelled")
+            self.release(entry, used=False)
--- a/libs/arbutusrill_standins/_prefix_cache.py
+++ b/libs/arbutusrill_standins/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of an engine: block hashes in limited memory, with a numbered list of its changes."""
+"""LRU prefix cache of an engine, with numbered change events."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 @dataclass(slots=True)
 class CacheChanges:
-    """Changes of a cache; `first_seq` is the number of the first of them, one number for each hash.
+    """Block hashes added and removed, or the whole content if `full` is true.
 
-    `added` comes before `removed`: a hash that is in both is no longer in the cache.
+    Each hash takes one sequence number, and `first_seq` is that of the first one. Additions apply before
+    removals: a hash in both lists is no longer in the cache.
     """
 
     first_seq: int
@@ -23,17 +24,17 @@
 
 
 class PrefixCache:
-    """Keeps the blocks used last. Safe to use from many threads."""
+    """LRU cache of at most `max_blocks` block hashes. Thread-safe."""
 
-    def __init__(self, blocks: int):
-        self._limit = blocks
+    def __init__(self, max_blocks: int):
+        self._max_blocks = max_blocks
         self._lock = threading.Lock()
         self._blocks: OrderedDict[str, None] = OrderedDict()
         self._seq = 0
         self._pending = CacheChanges(0)
 
     def match(self, blocks: list[str]) -> int:
-        """Returns how many leading blocks of a prompt are cached, and marks them as used."""
+        """Returns how many leading blocks of a prompt are cached and marks them as recently used."""
         with self._lock:
             count = 0
             for block in blocks:
@@ -44,32 +45,32 @@
             return count
 
     def insert(self, blocks: list[str]) -> None:
-        """Adds the blocks of a prompt and drops the blocks unused for longest."""
+        """Adds the blocks of a prompt and evicts the least recently used ones."""
         with self._lock:
-            for block in reversed(blocks[: self._limit]):  # the first blocks are the ones used last
+            for block in reversed(blocks[: self._max_blocks]):  # leading blocks become the most recent
                 if block not in self._blocks:
-                    self._note(self._pending.added, self._pending.removed, block)
+                    self._record_change(self._pending.added, self._pending.removed, block)
                 self._blocks[block] = None
                 self._blocks.move_to_end(block)
-            while len(self._blocks) > self._limit:
-                dropped, _ = self._blocks.popitem(last=False)
-                self._note(self._pending.removed, self._pending.added, dropped)
+            while len(self._blocks) > self._max_blocks:
+                evicted, _ = self._blocks.popitem(last=False)
+                self._record_change(self._pending.removed, self._pending.added, evicted)
 
-    def _note(self, side: list[str], other: list[str], block: str) -> None:
-        if block in other:
-            other.remove(block)
+    def _record_change(self, changes: list[str], opposite_changes: list[str], block: str) -> None:
+        if block in opposite_changes:
+            opposite_changes.remove(block)
         else:
-            side.append(block)
+            changes.append(block)
 
     def clear(self) -> None:
-        """Drops all blocks, as a restarted engine does."""
+        """Removes all blocks, as a restart of the engine does."""
         with self._lock:
             for block in self._blocks:
-                self._note(self._pending.removed, self._pending.added, block)
+                self._record_change(self._pending.removed, self._pending.added, block)
             self._blocks.clear()
 
     def take_changes(self) -> CacheChanges | None:
-        """Returns the changes since the last call, or None without any."""
+        """Returns the changes since the last call, or None if there are none."""
         with self._lock:
             changes = self._pending
             size = len(changes.added) + len(changes.removed)
@@ -79,8 +80,8 @@
             self._pending = CacheChanges(self._seq)
             return changes
 
-    def full(self) -> CacheChanges:
-        """Returns the whole content; events of later changes follow `first_seq` of this list."""
+    def snapshot(self) -> CacheChanges:
+        """Returns the whole content; the next changes start at its `first_seq`."""
         with self._lock:
             self._seq += len(self._pending.added) + len(self._pending.removed)
             self._pending = CacheChanges(self._seq)
--- a/libs/arbutusrill_standins/tests/test_service.py
+++ b/libs/arbutusrill_standins/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of the plain service stand-in, by whose counts repeated bookings are found."""
+"""Tests of the plain service stand-in, whose counters reveal repeated bookings."""
 
 import json
 
@@ -14,7 +14,7 @@
 
         def send(method, path, body=None, *headers):
             data = b"" if body is None else json.dumps(body).encode()
-            # libcurl repeats a request by itself when a reused connection breaks, so each gets a fresh one.
+            # On a reused connection that breaks, libcurl would resend the request by itself.
             return fetch(
                 Transfer(method, f"http://{server.address}{path}", list(headers), data, timeout_s=5, fresh=True)
             )
@@ -27,7 +27,7 @@
 
 
 def test_bookings_count_by_key_or_body(call):
-    """A repeated booking must show whether the repetition carries a key or only the same body."""
+    """The counts must show whether a repeated booking carried an idempotency key or only the same body."""
     for _ in range(2):
         call("POST", "/bookings", {"seat": 1})
     call("POST", "/bookings", {"seat": 1}, "Idempotency-Key: k")
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(("after", "booked"), [(True, 1), (False, 0)])
-def test_cut_answer_is_incomplete_and_says_nothing_about_the_booking(call, after, booked):
+def test_cut_response_is_incomplete_whether_or_not_the_booking_was_made(call, after, booked):
     call("POST", "/stand-in/fault", {"kind": "cut", "after_booking": after})
     assert not call("POST", "/bookings", {"seat": 1}).whole
     assert counters(call)["bookings"] == booked
