--- a/libs/arbutusrill_entry/__init__.py
+++ b/libs/arbutusrill_entry/__init__.py
@@ -1,12 +1,12 @@
-"""Entry role: the callers' interface, calls that run at most once, and the intake of announcements."""
+"""Entry role: the HTTP interface for callers, at-most-once calls, and the endpoint for server announcements."""
 
 from ._app import RESERVED_PATHS, EntryApp
-from ._backends import PoolClients
 from ._cleanup import Cleanup
 from ._context import EntryContext
 from ._drain import Drain
 from ._held import HeldTickets
 from ._meters import Meters
+from ._pool_clients import PoolClients
 from ._reports import REPORT_S, report_burn
 
 __all__ = [
--- a/libs/arbutusrill_entry/_announcements.py
+++ b/libs/arbutusrill_entry/_announcements.py
@@ -1,4 +1,4 @@
-"""Checks of what backend servers announce."""
+"""Parsing and validation of announcements and cache events from backend servers."""
 
 from __future__ import annotations
 
@@ -12,25 +12,32 @@
 
 from ._parse import bad_request, json_object
 
-__all__ = ["announcement_of", "cache_events_of", "check_announce_token"]
+__all__ = ["parse_announcement", "parse_cache_events", "check_announce_token"]
 
 _ROLES = ("prefill", "decode", "both", "plain")
 _STATES = ("ready", "draining", "leaving")
-_LONGEST_LIST = 100_000
-# Kinds of the JSON values by the type numbers of thrift: bool, double, i32, i64, string, list.
-_KINDS: dict[int, tuple[type, ...]] = {2: (bool,), 4: (int, float), 8: (int,), 10: (int,), 11: (str,), 15: (list,)}
+_MAX_LIST_LENGTH = 100_000
+# Python types of the JSON values by thrift type number: bool, double, i32, i64, string, list.
+_PYTHON_TYPES_BY_THRIFT_TYPE: dict[int, tuple[type, ...]] = {
+    2: (bool,),
+    4: (int, float),
+    8: (int,),
+    10: (int,),
+    11: (str,),
+    15: (list,),
+}
 
 
 def check_announce_token(request: Request, token_hash: str) -> None:
-    """Raises `FailureError` with 401 unless the request carries the announce token."""
+    """Raises `FailureError` with status 401 unless the request carries the announce token."""
     token = request.headers.get("Authorization", "").partition(" ")[2].strip()
     if not hmac.compare_digest(hashlib.sha256(token.encode("utf-8", "replace")).hexdigest(), token_hash):
         raise FailureError(Failure("bad_announce_token", "the announce token is wrong", status=401))
 
 
-def announcement_of(request: Request) -> Any:
-    """Returns the announcement in a body; raises `FailureError` naming the wrong field."""
-    announcement = _struct(messages.Announcement, json_object(request))
+def parse_announcement(request: Request) -> Any:
+    """Parses an announcement; raises `FailureError` that names the invalid field."""
+    announcement = _struct_from_json(messages.Announcement, json_object(request))
     if announcement.role not in _ROLES:
         raise bad_request("role", f"role must be one of {', '.join(_ROLES)}")
     if announcement.state not in _STATES:
@@ -45,11 +52,11 @@
     return announcement
 
 
-def cache_events_of(request: Request) -> tuple[Any, list[str]]:
-    """Returns the cache events in a body and the pools that it names, if any."""
+def parse_cache_events(request: Request) -> tuple[Any, list[str]]:
+    """Parses cache events; returns them and the pools named in the body, if any."""
     body = json_object(request)
-    pools = _strings("pools", body.pop("pools", None) or [])
-    events = _struct(messages.CacheEvents, body)
+    pools = _check_strings("pools", body.pop("pools", None) or [])
+    events = _struct_from_json(messages.CacheEvents, body)
     if not events.id:
         raise bad_request("id", "id is required", "missing_field")
     if events.first_seq is None:
@@ -58,25 +65,31 @@
     return events, pools
 
 
-def _struct(kind: Any, body: dict[str, Any]) -> Any:
-    """Fills a thrift struct from JSON; fields that it does not have are skipped."""
-    made = kind()
-    for spec in kind.thrift_spec.values():
-        number, name = spec[0], spec[1]
+def _struct_from_json(struct_type: Any, body: dict[str, Any]) -> Any:
+    """Returns a thrift struct with the values of a JSON object; unknown fields are ignored."""
+    struct = struct_type()
+    for spec in struct_type.thrift_spec.values():
+        thrift_type, name = spec[0], spec[1]
         value = body.get(name)
         if value is None:
             continue
-        if not isinstance(value, _KINDS[number]) or (isinstance(value, bool) and number != 2):
+        if not isinstance(value, _PYTHON_TYPES_BY_THRIFT_TYPE[thrift_type]) or (
+            isinstance(value, bool) and thrift_type != 2
+        ):
             raise bad_request(name, f"{name} has the wrong type", "wrong_type")
-        if number == 15:
-            _strings(name, value)
-        elif number != 2 and isinstance(value, (int, float)) and not 0 <= value < 2 ** (31 if number == 8 else 63):
+        if thrift_type == 15:
+            _check_strings(name, value)
+        elif (
+            thrift_type != 2
+            and isinstance(value, (int, float))
+            and not 0 <= value < 2 ** (31 if thrift_type == 8 else 63)
+        ):
             raise bad_request(name, f"{name} must be a number of at least 0")
-        setattr(made, name, value)
-    return made
+        setattr(struct, name, value)
+    return struct
 
 
-def _strings(name: str, value: Any) -> list[str]:
-    if not isinstance(value, list) or len(value) > _LONGEST_LIST or not all(isinstance(item, str) for item in value):
+def _check_strings(name: str, value: Any) -> list[str]:
+    if not isinstance(value, list) or len(value) > _MAX_LIST_LENGTH or not all(isinstance(item, str) for item in value):
         raise bad_request(name, f"{name} must be a list of texts", "wrong_type")
     return value
--- a/libs/arbutusrill_entry/_app.py
+++ b/libs/arbutusrill_entry/_app.py
@@ -11,7 +11,7 @@
 from werkzeug.routing import Map, Rule
 from werkzeug.wrappers import Request, Response
 
-from ._announcements import announcement_of, cache_events_of, check_announce_token
+from ._announcements import check_announce_token, parse_announcement, parse_cache_events
 from ._auth import authenticate
 from ._call import Call
 from ._completions import Completions
@@ -20,16 +20,17 @@
 
 __all__ = ["RESERVED_PATHS", "EntryApp"]
 
-_ANY = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
-# Served on connections above the callers' bound, so that callers cannot keep backend servers from
-# announcing themselves or operators from looking.
+_ALL_METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
+# Served on reserved connections above the connection limit for callers: a full limit must not block
+# announcements of backend servers or the requests of operators.
 RESERVED_PATHS = ("/backends/", "/healthz", "/readyz", "/metrics", "/v1/entries")
 
 
 class EntryApp:
-    """Serves callers and the announcements of backend servers.
+    """Routes requests of callers, operators and backend servers to their handlers.
 
-    `draining` makes ``/readyz`` answer 503; callers are still served.
+    While `draining` is set, ``/readyz`` answers 503 and ``/v1/entries`` leaves this VM out; all other requests are
+    still served.
     """
 
     def __init__(self, context: EntryContext, announce_token_hash: str):
@@ -41,13 +42,13 @@
         self.draining = False
         self._routes = Map(
             [
-                Rule("/v1/chat/completions", endpoint=self._chat, methods=["POST"]),
-                Rule("/v1/completions", endpoint=self._text, methods=["POST"]),
+                Rule("/v1/chat/completions", endpoint=self._chat_completion, methods=["POST"]),
+                Rule("/v1/completions", endpoint=self._text_completion, methods=["POST"]),
                 Rule("/v1/models", endpoint=self._models, methods=["GET"]),
                 Rule("/v1/models/<path:model>", endpoint=self._model, methods=["GET"]),
                 Rule("/v1/entries", endpoint=self._entries, methods=["GET"]),
-                Rule("/services/<name>/", defaults={"path": ""}, endpoint=self._service, methods=_ANY),
-                Rule("/services/<name>/<path:path>", endpoint=self._service, methods=_ANY),
+                Rule("/services/<name>/", defaults={"path": ""}, endpoint=self._service, methods=_ALL_METHODS),
+                Rule("/services/<name>/<path:path>", endpoint=self._service, methods=_ALL_METHODS),
                 Rule("/backends/announce", endpoint=self._announce, methods=["POST"]),
                 Rule("/backends/cache-events", endpoint=self._cache_events, methods=["POST"]),
                 Rule("/healthz", endpoint=self._healthz, methods=["GET"]),
@@ -59,7 +60,7 @@
         )
 
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
-        """Serves one request."""
+        """Serves one HTTP request; failures become JSON error responses."""
         request = Request(environ)
         try:
             endpoint, arguments = self._routes.bind_to_environ(environ).match()
@@ -70,19 +71,19 @@
             response = failure_response(_http_failure(error, request))
         return response(environ, start_response)
 
-    def _call(self, route: str) -> Call:
+    def _start_call(self, route: str) -> Call:
         return Call(self._context.meters, self._follower, route)
 
-    def _chat(self, request: Request, start_response: Callable) -> Iterable[bytes]:
-        with self._call("chat") as call:
+    def _chat_completion(self, request: Request, start_response: Callable) -> Iterable[bytes]:
+        with self._start_call("chat") as call:
             return self._completions.serve(request, start_response, chat=True, call=call)
 
-    def _text(self, request: Request, start_response: Callable) -> Iterable[bytes]:
-        with self._call("completions") as call:
+    def _text_completion(self, request: Request, start_response: Callable) -> Iterable[bytes]:
+        with self._start_call("completions") as call:
             return self._completions.serve(request, start_response, chat=False, call=call)
 
     def _service(self, request: Request, start_response: Callable, name: str, path: str) -> Iterable[bytes]:
-        with self._call("services") as call:
+        with self._start_call("services") as call:
             return self._services.serve(request, start_response, name, call)
 
     def _models(self, request: Request, start_response: Callable) -> Iterable[bytes]:
@@ -113,14 +114,14 @@
 
     def _announce(self, request: Request, start_response: Callable) -> Iterable[bytes]:
         check_announce_token(request, self._announce_token_hash)
-        self._context.pools.announce(announcement_of(request))
+        self._context.pools.announce(parse_announcement(request))
         return json_response({"accepted": True})(request.environ, start_response)
 
     def _cache_events(self, request: Request, start_response: Callable) -> Iterable[bytes]:
         check_announce_token(request, self._announce_token_hash)
-        events, pools = cache_events_of(request)
-        taken = self._context.pools.cache_events(events, pools)
-        return json_response({"accepted": taken, "resynchronise": not taken})(request.environ, start_response)
+        events, pools = parse_cache_events(request)
+        accepted = self._context.pools.cache_events(events, pools)
+        return json_response({"accepted": accepted, "resynchronise": not accepted})(request.environ, start_response)
 
     def _healthz(self, request: Request, start_response: Callable) -> Iterable[bytes]:
         return json_response({"status": "ok"})(request.environ, start_response)
@@ -131,7 +132,7 @@
         return json_response({"ready": ready, "reason": reason}, 200 if ready else 503)(request.environ, start_response)
 
     def _metrics(self, request: Request, start_response: Callable) -> Iterable[bytes]:
-        text = self._context.meters.text()
+        text = self._context.meters.render()
         return Response(text, content_type=CONTENT_TYPE_LATEST)(request.environ, start_response)
 
 
--- a/libs/arbutusrill_entry/_call.py
+++ b/libs/arbutusrill_entry/_call.py
@@ -1,4 +1,4 @@
-"""The record of one call: its request id, times and outcome."""
+"""Accounting of one call: request id, latencies and outcome."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from arbutusrill_http import AbortStreamError
 from arbutusrill_state import Follower
 
-from ._keys import redacted
+from ._keys import redact_keys
 from ._meters import Meters
 
 __all__ = ["Call"]
@@ -17,10 +17,10 @@
 
 
 class Call:
-    """Context of one call: counts it when it ends and logs it when it fails.
+    """Context manager that records the metrics of one call when it ends and logs its failure.
 
-    Availability counts failures that are not the caller's (status 500 and above); a caller who leaves
-    counts neither way.
+    Only failures with status 500 and above count against availability. Calls that fail with a lower status and
+    calls whose caller disconnects count neither as good nor as bad.
     """
 
     def __init__(self, meters: Meters, follower: Follower, route: str):
@@ -30,7 +30,7 @@
         self.first_token_s = 0.0
         self._meters = meters
         self._follower = follower
-        self._started = time.monotonic()
+        self._started_at = time.monotonic()
         self._last_token_at = 0.0
         self._tokens = 0
         self._failure: Failure | None = None
@@ -42,36 +42,36 @@
 
     def __exit__(self, kind: object, error: BaseException | None, _: object) -> None:
         self._meters.open_requests.labels(self._open_route).dec()
-        gone = False
+        caller_left = False
         if self._failure is None and error is not None:
-            gone = isinstance(error, (AbortStreamError, ConnectionError, TimeoutError))
-            self._failure = _failure_of(error)
-        elapsed = time.monotonic() - self._started
+            caller_left = isinstance(error, (AbortStreamError, ConnectionError, TimeoutError))
+            self._failure = _to_failure(error)
+        elapsed = time.monotonic() - self._started_at
         failure = self._failure
-        verdict = "gone" if gone else failure.verdict.value if failure is not None else "ok"
+        verdict = "gone" if caller_left else failure.verdict.value if failure is not None else "ok"
         self._meters.requests.labels(self.route, verdict).inc()
         self._meters.request_s.labels(self.route).observe(elapsed)
         if self._tokens:
             self._meters.tokens.inc(self._tokens)
         if failure is not None:
-            self._log(failure, elapsed)
-        if not gone:
-            self._count(failure)
+            self._log_failure(failure, elapsed)
+        if not caller_left:
+            self._record_targets(failure)
 
-    def tokens(self, number: int) -> None:
-        """Notes that `number` tokens arrived."""
+    def add_tokens(self, count: int) -> None:
+        """Counts `count` output tokens that arrived now."""
         self._last_token_at = time.monotonic()
         if not self._tokens:
-            self.first_token_s = self._last_token_at - self._started
-        self._tokens += number
+            self.first_token_s = self._last_token_at - self._started_at
+        self._tokens += count
 
-    def failed(self, failure: Failure) -> None:
-        """Notes the failure of a call whose response had begun."""
+    def set_failure(self, failure: Failure) -> None:
+        """Records the failure of a call whose response has already begun."""
         self._failure = failure
 
-    def _log(self, failure: Failure, elapsed: float) -> None:
+    def _log_failure(self, failure: Failure, elapsed: float) -> None:
         _log.info(
-            "%s %s of workspace %s ended as %s (%s, status %d) after %.3f s: %s",
+            "request %s on route %s of workspace %s failed with %s (verdict %s, status %d) after %.3f s: %s",
             self.request_id,
             self.route,
             self.workspace or "-",
@@ -79,29 +79,29 @@
             failure.verdict.value,
             failure.status,
             elapsed,
-            redacted(failure.message),
+            redact_keys(failure.message),
         )
 
-    def _count(self, failure: Failure | None) -> None:
+    def _record_targets(self, failure: Failure | None) -> None:
         if not self.workspace or (failure is not None and failure.status < 500):
             return
-        self._burn("availability", failure is None)
+        self._count_target("availability", failure is None)
         if not self._tokens:
             return
         scope = {"workspace": self.workspace}
         config = self._follower.config
         self._meters.first_token_s.labels(self.route).observe(self.first_token_s)
-        self._burn("first_token", self.first_token_s <= config.value("targets.first_token_s", **scope))
+        self._count_target("first_token", self.first_token_s <= config.value("targets.first_token_s", **scope))
         if self._tokens > 1:
-            gap = (self._last_token_at - self._started - self.first_token_s) / (self._tokens - 1)
+            gap = (self._last_token_at - self._started_at - self.first_token_s) / (self._tokens - 1)
             self._meters.token_gap_s.labels(self.route).observe(gap)
-            self._burn("token_gap", gap <= config.value("targets.token_gap_s", **scope))
+            self._count_target("token_gap", gap <= config.value("targets.token_gap_s", **scope))
 
-    def _burn(self, target: str, good: bool) -> None:
+    def _count_target(self, target: str, good: bool) -> None:
         self._meters.burn.add(self.workspace, self.route, target, good)
 
 
-def _failure_of(error: BaseException) -> Failure:
+def _to_failure(error: BaseException) -> Failure:
     if isinstance(error, FailureError):
         return error.failure
     if isinstance(error, (AbortStreamError, ConnectionError, TimeoutError)):
--- a/libs/arbutusrill_entry/_cleanup.py
+++ b/libs/arbutusrill_entry/_cleanup.py
@@ -1,4 +1,4 @@
-"""Background jobs that must succeed in the end: cancelling, releasing and recording."""
+"""Background jobs that are retried until they succeed: cancellations and releases."""
 
 from __future__ import annotations
 
@@ -14,107 +14,109 @@
 
 __all__ = ["Cleanup"]
 
-_THREADS = 16
-_BOUND = 10_000
-_CLOSE_S = 5.0
-_FIRST_PAUSE_S = 0.05
-_LONGEST_PAUSE_S = 0.5
+_THREAD_COUNT = 16
+_MAX_QUEUED_JOBS = 10_000
+_MAX_CLOSE_WAIT_S = 5.0
+_INITIAL_BACKOFF_S = 0.05
+_MAX_BACKOFF_S = 0.5
 _log = PartLog("cleanup")
 
 
 @dataclass(slots=True, order=True)
 class _Job:
-    due: float
-    number: int
-    what: str = field(compare=False)
+    due_at: float
+    sequence: int
+    description: str = field(compare=False)
     run: Callable[[], bool] = field(compare=False)
-    give_up_at: float = field(compare=False)
+    deadline: float = field(compare=False)
     on_end: Callable[[], None] | None = field(compare=False, default=None)
-    pause: float = field(compare=False, default=_FIRST_PAUSE_S)
+    backoff_s: float = field(compare=False, default=_INITIAL_BACKOFF_S)
 
 
 class Cleanup:
-    """Repeats jobs on a few threads until each returns True or its time has passed.
+    """Runs jobs on a thread pool and retries each with backoff until it returns True or times out.
 
-    Leaving the context waits at most `_CLOSE_S` seconds for the jobs that are left. At most `bound` jobs
-    wait; a job above that runs once in the caller's thread.
+    On exit, queued jobs get at most `_MAX_CLOSE_WAIT_S` more seconds. If `max_queued_jobs` jobs are queued already, or
+    the queue is closing, a new job runs once in the caller's thread.
     """
 
-    def __init__(self, threads: int = _THREADS, bound: int = _BOUND):
-        self._bound = bound
-        self._wake = threading.Condition()
+    def __init__(self, threads: int = _THREAD_COUNT, max_queued_jobs: int = _MAX_QUEUED_JOBS):
+        self._max_queued_jobs = max_queued_jobs
+        self._changed = threading.Condition()
         self._jobs: list[_Job] = []
         self._running = 0
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._closing = False
         self._executor = ThreadPoolExecutor(threads, thread_name_prefix="cleanup")
         self._threads = threads
 
     def __enter__(self) -> Cleanup:
         for _ in range(self._threads):
-            self._executor.submit(self._work)
+            self._executor.submit(self._run_jobs)
         return self
 
     def __exit__(self, *_: object) -> None:
-        with self._wake:
+        with self._changed:
             self._closing = True
             for job in self._jobs:
-                job.give_up_at = min(job.give_up_at, time.monotonic() + _CLOSE_S)
-            self._wake.notify_all()
+                job.deadline = min(job.deadline, time.monotonic() + _MAX_CLOSE_WAIT_S)
+            self._changed.notify_all()
         self._executor.shutdown(wait=True)
 
-    def add(self, what: str, run: Callable[[], bool], for_s: float, on_end: Callable[[], None] | None = None) -> None:
-        """Runs `run` at once and again until it returns True, for `for_s` seconds, then calls `on_end`.
+    def add(
+        self, description: str, run: Callable[[], bool], timeout_s: float, on_end: Callable[[], None] | None = None
+    ) -> None:
+        """Queues `run`, which is retried for `timeout_s` seconds until it returns True; then calls `on_end`.
 
-        `what` names the job in the log line that is written when it does not succeed in time.
+        `description` names the job in the log lines about its failures.
         """
         now = time.monotonic()
-        job = _Job(now, next(self._numbers), what, run, now + for_s, on_end)
-        with self._wake:
-            if not self._closing and len(self._jobs) < self._bound:
+        job = _Job(now, next(self._sequence), description, run, now + timeout_s, on_end)
+        with self._changed:
+            if not self._closing and len(self._jobs) < self._max_queued_jobs:
                 heapq.heappush(self._jobs, job)
-                self._wake.notify()
+                self._changed.notify()
                 return
-        self._attempt(job, last=True)
+        self._run_job(job, last=True)
 
     def pending(self) -> int:
-        """Returns the number of jobs that have not ended."""
-        with self._wake:
+        """Returns the number of jobs that are queued or running."""
+        with self._changed:
             return len(self._jobs) + self._running
 
-    def _work(self) -> None:
-        while (job := self._next()) is not None:
-            ended = self._attempt(job)
-            with self._wake:
+    def _run_jobs(self) -> None:
+        while (job := self._next_job()) is not None:
+            ended = self._run_job(job)
+            with self._changed:
                 self._running -= 1
                 if not ended:
                     heapq.heappush(self._jobs, job)
-                self._wake.notify_all()
+                self._changed.notify_all()
 
-    def _next(self) -> _Job | None:
-        with self._wake:
+    def _next_job(self) -> _Job | None:
+        with self._changed:
             while True:
                 now = time.monotonic()
-                if self._jobs and self._jobs[0].due <= now:
+                if self._jobs and self._jobs[0].due_at <= now:
                     self._running += 1
                     return heapq.heappop(self._jobs)
                 if self._closing and not self._jobs and not self._running:
                     return None
-                self._wake.wait(min(0.5, self._jobs[0].due - now) if self._jobs else 0.5)
+                self._changed.wait(min(0.5, self._jobs[0].due_at - now) if self._jobs else 0.5)
 
-    def _attempt(self, job: _Job, last: bool = False) -> bool:
+    def _run_job(self, job: _Job, last: bool = False) -> bool:
         try:
             done = job.run()
         except Exception:
-            _log.exception("%s failed", job.what)
+            _log.exception("cleanup job %s raised an exception", job.description)
             done = False
         now = time.monotonic()
-        if not done and not last and now < job.give_up_at:
-            job.due = now + job.pause
-            job.pause = min(2 * job.pause, _LONGEST_PAUSE_S)
+        if not done and not last and now < job.deadline:
+            job.due_at = now + job.backoff_s
+            job.backoff_s = min(2 * job.backoff_s, _MAX_BACKOFF_S)
             return False
         if not done:
-            _log.warning("%s not confirmed", job.what)
+            _log.warning("cleanup job %s not acknowledged in time", job.description)
         if job.on_end is not None:
             job.on_end()
         return True
--- a/libs/arbutusrill_entry/_completions.py
+++ b/libs/arbutusrill_entry/_completions.py
@@ -1,4 +1,4 @@
-"""The OpenAI-compatible completion calls."""
+"""OpenAI-compatible completion endpoints."""
 
 from __future__ import annotations
 
@@ -16,54 +16,56 @@
 from ._call import Call
 from ._context import EntryContext
 from ._guard import KeyGuard
-from ._parse import Completion, deadline_of, latency_class_of, parse_completion
-from ._relay import Relay, RelayEnd
-from ._slots import Place, Wanted, leave_check
+from ._parse import Completion, parse_completion, parse_deadline, parse_latency_class
+from ._relay import Relay, RelayResult
+from ._reservation import Requirements, ServerReservation, make_wait_check
 
 __all__ = ["Completions"]
 
-_MAX_BLOCKS = 512  # of 64 tokens: 8 kB in each call to the pool's owner
+_MAX_PREFIX_BLOCKS = 512  # of 64 tokens each; the block hashes add 8 kB to each call to the pool's owner
 
 
 class Completions:
-    """Serves completions, streamed or whole."""
+    """Serves chat and text completions, streamed or as one response."""
 
     def __init__(self, context: EntryContext):
         self._context = context
 
     def serve(self, request: Request, start_response: Callable, chat: bool, call: Call) -> Iterable[bytes]:
-        """Serves one call; raises `FailureError` as long as the response has not begun."""
+        """Serves one call; raises `FailureError` only before the response has begun."""
         guard = authenticate(request, self._context.follower)
         call.workspace = guard.workspace
         completion = parse_completion(request, chat)
         refuse_key_in_body(request, self._context.follower)
         call.route = "chat" if chat else "completions"
-        assigned = self._context.pools.known(completion.model)
+        assigned = self._context.pools.find_pool(completion.model)
         if assigned is None or assigned.kind != "model":
             message = f"the model {completion.model!r} does not exist"
             raise FailureError(Failure("model_not_found", message, status=404, param="model"))
-        wanted = self._wanted(request, completion, guard, call.request_id)
+        requirements = self._make_requirements(request, completion, guard, call.request_id)
         caller = request.environ["werkzeug.socket"]
         tokens = completion.prompt_tokens + completion.max_tokens
-        check = leave_check(caller, guard)
-        with self._context.limits.charge(guard.workspace, tokens, wanted.deadline, check) as charge:
+        check = make_wait_check(caller, guard)
+        with self._context.limits.charge(guard.workspace, tokens, requirements.deadline, check) as charge:
             charge.used = 0
-            with Place(self._context, wanted, caller, guard) as place:
-                relay = Relay(self._context, place, completion, guard)
+            with ServerReservation(self._context, requirements, caller, guard) as reservation:
+                relay = Relay(self._context, reservation, completion, guard)
                 try:
                     if completion.stream:
-                        return _stream(relay, place, completion, call, start_response)
-                    return _whole(relay, place, completion, call)(request.environ, start_response)
+                        return _stream_response(relay, reservation, completion, call, start_response)
+                    return _whole_response(relay, reservation, completion, call)(request.environ, start_response)
                 finally:
                     charge.used = completion.prompt_tokens + relay.tokens
 
-    def _wanted(self, request: Request, completion: Completion, guard: KeyGuard, request_id: str) -> Wanted:
+    def _make_requirements(
+        self, request: Request, completion: Completion, guard: KeyGuard, request_id: str
+    ) -> Requirements:
         config = self._context.follower.config
-        latency_class = latency_class_of(request, "interactive")
+        latency_class = parse_latency_class(request, "interactive")
         scope = {"workspace": guard.workspace, "model": completion.model}
         wait_s = config.value(f"queue.max_wait_s.{latency_class}", **scope)
-        deadline, own = deadline_of(request, wait_s)
-        return Wanted(
+        deadline, set_by_caller = parse_deadline(request, wait_s)
+        return Requirements(
             completion.model,
             request_id,
             guard.workspace,
@@ -72,18 +74,18 @@
             completion.prompt_tokens,
             completion.max_tokens,
             config.share_weight(guard.workspace),
-            prefix_blocks=prefix_blocks(completion.prompt, _MAX_BLOCKS),
-            move_wait_s=wait_s,
-            last_moment=deadline if own else float("inf"),
+            prefix_blocks=prefix_blocks(completion.prompt, _MAX_PREFIX_BLOCKS),
+            reassign_wait_s=wait_s,
+            caller_deadline=deadline if set_by_caller else float("inf"),
         )
 
 
-def _whole(relay: Relay, place: Place, completion: Completion, call: Call) -> Any:
+def _whole_response(relay: Relay, reservation: ServerReservation, completion: Completion, call: Call) -> Any:
     tokens: list[str] = []
 
     def on_tokens(texts: list[str]) -> None:
-        call.tokens(len(texts))
-        place.release.first_token_s = call.first_token_s
+        call.add_tokens(len(texts))
+        reservation.release.first_token_s = call.first_token_s
         tokens.extend(texts)
 
     end = relay.run(on_tokens)
@@ -93,24 +95,24 @@
         choice["message"] = {"role": "assistant", "content": text, "refusal": None}
     else:
         choice["text"] = text
-    body = {**_head(completion, call.request_id, streamed=False), "choices": [choice], "usage": _usage(end)}
+    body = {**_envelope(completion, call.request_id, streamed=False), "choices": [choice], "usage": _usage(end)}
     return json_response(body, headers={"X-Request-Id": call.request_id})
 
 
 class _EventWriter:
-    """Writes the events of one response, with one send for the tokens that arrived together."""
+    """Writes the server-sent events of one response; tokens that arrived together are sent in one write."""
 
     def __init__(self, completion: Completion, call: Call, start_response: Callable):
         self._start_response = start_response
         self._call = call
         self._write: Callable[[bytes], Any] | None = None
-        self._head = _head(completion, call.request_id, streamed=True)
+        self._envelope = _envelope(completion, call.request_id, streamed=True)
         self._chat = completion.chat
-        marked = json.dumps({**self._head, "choices": [_delta(completion.chat, "\0", None)]}, ensure_ascii=False)
-        # Only the text differs between events: the rest is encoded once.
-        before, _, after = marked.partition('"\\u0000"')
-        self._before = b"data: " + before.encode()
-        self._after = after.encode() + b"\n\n"
+        template = json.dumps({**self._envelope, "choices": [_choice(completion.chat, "\0", None)]}, ensure_ascii=False)
+        # Token events differ only in their text, so the JSON around it is encoded once.
+        before, _, after = template.partition('"\\u0000"')
+        self._text_prefix = b"data: " + before.encode()
+        self._text_suffix = after.encode() + b"\n\n"
 
     @property
     def begun(self) -> bool:
@@ -126,47 +128,47 @@
             self._write = self._start_response("200 OK", headers)
         self._write(data)
 
-    def tokens(self, texts: list[str]) -> None:
-        before, after = self._before, self._after
-        self.write(b"".join([before + _quoted(text) + after for text in texts]))
+    def write_tokens(self, texts: list[str]) -> None:
+        before, after = self._text_prefix, self._text_suffix
+        self.write(b"".join([before + _json_string(text) + after for text in texts]))
 
-    def end(self, end: RelayEnd, include_usage: bool) -> None:
-        last = _event({**self._head, "choices": [_delta(self._chat, "", end.finish_reason)]})
+    def write_end(self, end: RelayResult, include_usage: bool) -> None:
+        last = _sse_event({**self._envelope, "choices": [_choice(self._chat, "", end.finish_reason)]})
         if include_usage:
-            last += _event({**self._head, "choices": [], "usage": _usage(end)})
+            last += _sse_event({**self._envelope, "choices": [], "usage": _usage(end)})
         self.write(last + b"data: [DONE]\n\n")
 
 
-def _stream(
-    relay: Relay, place: Place, completion: Completion, call: Call, start_response: Callable
+def _stream_response(
+    relay: Relay, reservation: ServerReservation, completion: Completion, call: Call, start_response: Callable
 ) -> Iterable[bytes]:
     writer = _EventWriter(completion, call, start_response)
 
     def on_tokens(texts: list[str]) -> None:
-        call.tokens(len(texts))
-        place.release.first_token_s = call.first_token_s
-        writer.tokens(texts)
+        call.add_tokens(len(texts))
+        reservation.release.first_token_s = call.first_token_s
+        writer.write_tokens(texts)
 
     try:
         end = relay.run(on_tokens)
     except FailureError as error:
         if not writer.begun:
             raise
-        call.failed(error.failure)
-        writer.write(_event(error_body(error.failure)))
+        call.set_failure(error.failure)
+        writer.write(_sse_event(error_body(error.failure)))
         raise AbortStreamError from None
-    writer.end(end, completion.include_usage)
+    writer.write_end(end, completion.include_usage)
     return []
 
 
-def _head(completion: Completion, request_id: str, streamed: bool) -> dict[str, Any]:
+def _envelope(completion: Completion, request_id: str, streamed: bool) -> dict[str, Any]:
     kind = "chat.completion" if completion.chat else "text_completion"
     if completion.chat and streamed:
         kind = "chat.completion.chunk"
     return {"id": request_id, "object": kind, "created": int(time.time()), "model": completion.model}
 
 
-def _delta(chat: bool, text: str, finish_reason: str | None) -> dict[str, Any]:
+def _choice(chat: bool, text: str, finish_reason: str | None) -> dict[str, Any]:
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish_reason, "logprobs": None}
     if chat:
         choice["delta"] = {"role": "assistant", "content": text} if text else {}
@@ -175,7 +177,7 @@
     return choice
 
 
-def _usage(end: RelayEnd) -> dict[str, int]:
+def _usage(end: RelayResult) -> dict[str, int]:
     return {
         "prompt_tokens": end.prompt_tokens,
         "completion_tokens": end.tokens,
@@ -183,10 +185,10 @@
     }
 
 
-def _quoted(text: str) -> bytes:
-    # The escaped form also holds lone surrogates, which have no UTF-8 form.
+def _json_string(text: str) -> bytes:
+    # ASCII escapes can also represent lone surrogates, which UTF-8 cannot encode.
     return encode_basestring_ascii(text).encode()
 
 
-def _event(value: dict[str, Any]) -> bytes:
+def _sse_event(value: dict[str, Any]) -> bytes:
     return b"data: " + json.dumps(value, ensure_ascii=False).encode() + b"\n\n"
--- a/libs/arbutusrill_entry/_context.py
+++ b/libs/arbutusrill_entry/_context.py
@@ -1,4 +1,4 @@
-"""What every part of the entry role shares."""
+"""Objects shared by all request handlers of the entry role."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from arbutusrill_limits import TokenLeases
 from arbutusrill_state import ControlClient, Follower, JournalClient
 
-from ._backends import PoolClients
 from ._cleanup import Cleanup
 from ._held import HeldTickets
 from ._meters import Meters
+from ._pool_clients import PoolClients
 
 __all__ = ["EntryContext"]
 
 
 @dataclass(slots=True, frozen=True)
 class EntryContext:
-    """Followed state, pool owners and background work of one entry VM."""
+    """Replicated configuration, clients, limits and background jobs of one entry VM."""
 
     follower: Follower
     control: ControlClient
@@ -28,10 +28,13 @@
     clock: Clock
     cleanup: Cleanup
     held: HeldTickets
-    budget: RetryBudget
+    retry_budget: RetryBudget
     meters: Meters
 
     def take_retry(self) -> bool:
-        """Takes one retry from the budget, whose fraction is the default ``retry.budget``."""
-        self.budget.set_fraction(self.follower.config.value("retry.budget"))
-        return self.budget.take()
+        """Takes one retry from the retry budget; returns False if none is left.
+
+        The setting ``retry.budget`` limits retries to a fraction of the requests.
+        """
+        self.retry_budget.set_fraction(self.follower.config.value("retry.budget"))
+        return self.retry_budget.take()
--- a/libs/arbutusrill_entry/_drain.py
+++ b/libs/arbutusrill_entry/_drain.py
@@ -1,4 +1,4 @@
-"""The order in which an entry VM leaves without interrupting a request."""
+"""Graceful shutdown of an entry VM."""
 
 from __future__ import annotations
 
@@ -14,54 +14,57 @@
 
 __all__ = ["Drain"]
 
-_SEEN_S = 5.0  # time for the control group to confirm the state
-_MARGIN_S = 1.0
-_HANDOVER_S = 4.0
-_RELEASE_S = 1.0
-_STEP_S = 0.1
+_CONFIRM_TIMEOUT_S = 5.0  # for the control group to confirm the draining state
+_ENTRIES_MARGIN_S = 1.0  # beyond the time for which callers may cache the list of entry VMs
+_POOL_RELEASE_TIMEOUT_S = 4.0
+_RELEASE_CALL_TIMEOUT_S = 1.0
+_POLL_INTERVAL_S = 0.1
 _log = PartLog("drain")
 
 
 class Drain:
-    """Takes an entry VM out of service.
+    """Takes an entry VM out of service without interrupting requests.
 
-    `hurry` ends every wait early: it is set by a second signal.
+    The event `skip_waits`, set by a second signal, ends every wait early.
     """
 
-    def __init__(self, context: EntryContext, app: EntryApp, server: HttpServer, hurry: threading.Event):
+    def __init__(self, context: EntryContext, app: EntryApp, server: HttpServer, skip_waits: threading.Event):
         self._context = context
         self._app = app
         self._server = server
-        self._hurry = hurry
+        self._skip_waits = skip_waits
 
     def run(self, limit_s: float) -> None:
-        """Drains in at most `limit_s` seconds; requests that are left then are cut."""
+        """Drains for at most `limit_s` seconds, then aborts the remaining requests."""
         deadline = time.monotonic() + limit_s
         follower = self._context.follower
         self._app.draining = True
         follower.drain()
-        _log.info("VM %s drains, %d requests under way", follower.identity.vm, self._server.busy())
-        seen = self._wait(self._is_seen, min(deadline, time.monotonic() + _SEEN_S))
-        if not seen and not self._hurry.is_set():
-            _log.warning("the control group has not confirmed that this VM drains")
-        if not self._wait(lambda: follower.release_pools(_RELEASE_S), min(deadline, time.monotonic() + _HANDOVER_S)):
-            _log.warning("not all pools are released, their leases will end")
-        margin_s = float(follower.config.value("entries.max_age_s")) + _MARGIN_S
+        _log.info("draining VM %s, %d requests in progress", follower.identity.vm, self._server.busy())
+        confirmed = self._wait(self._is_drain_confirmed, min(deadline, time.monotonic() + _CONFIRM_TIMEOUT_S))
+        if not confirmed and not self._skip_waits.is_set():
+            _log.warning("draining state not confirmed by the control group in time")
+        if not self._wait(
+            lambda: follower.release_pools(_RELEASE_CALL_TIMEOUT_S),
+            min(deadline, time.monotonic() + _POOL_RELEASE_TIMEOUT_S),
+        ):
+            _log.warning("pools not released in time, their leases will expire")
+        margin_s = float(follower.config.value("entries.max_age_s")) + _ENTRIES_MARGIN_S
         self._wait(lambda: False, min(deadline, time.monotonic() + margin_s))
         self._server.stop_listening()
         if not self._wait(lambda: not self._server.busy(), deadline):
-            reason = "a second signal" if self._hurry.is_set() else f"the limit of {limit_s:g} s"
-            _log.warning("drain ended early by %s, %d requests were cut", reason, self._server.cut())
+            reason = "a second signal" if self._skip_waits.is_set() else f"the limit of {limit_s:g} s"
+            _log.warning("drain ended early by %s, %d requests aborted", reason, self._server.cut())
 
-    def _is_seen(self) -> bool:
+    def _is_drain_confirmed(self) -> bool:
         identity = self._context.follower.identity
         vm = self._context.follower.config.vms_by_id.get(identity.vm)
         return vm is not None and vm.state == "draining" and vm.incarnation == identity.incarnation
 
     def _wait(self, condition: Callable[[], bool], deadline: float) -> bool:
-        """Waits until `condition()`, `deadline` or `hurry`; returns whether the condition was met."""
+        """Waits for `condition()`, `deadline` or `skip_waits`; returns whether the condition holds."""
         while not condition():
             remaining = deadline - time.monotonic()
-            if remaining <= 0 or self._hurry.wait(min(_STEP_S, remaining)):
+            if remaining <= 0 or self._skip_waits.wait(min(_POLL_INTERVAL_S, remaining)):
                 return condition()
         return True
--- a/libs/arbutusrill_entry/_events.py
+++ b/libs/arbutusrill_entry/_events.py
@@ -1,4 +1,4 @@
-"""Events of an engine's token stream."""
+"""Parser for the event stream of an engine."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 __all__ = ["EventReader"]
 
-_LONGEST_EVENT = 1_048_576
+_MAX_EVENT_BYTES = 1_048_576
 
 
 class EventReader:
-    r"""Splits the bytes of a stream into events and checks that they belong to the request and follow each other.
+    r"""Incremental parser that accepts only events of one request with consecutive token offsets.
 
-    `first` is the offset of the first token that is expected. Nothing after a wrong event is returned: `problem` then
-    says what is wrong, and `crossed` whether the event belongs to another request.
+    `first_offset` is the offset of the first expected token. An invalid event ends parsing: `problem` then describes it
+    and `request_mismatch` tells whether it belongs to another request.
 
     >>> reader = EventReader("r", 0)
     >>> reader.on_head(200, {})
@@ -21,51 +21,51 @@
     ['a']
     """
 
-    def __init__(self, request_id: str, first: int):
+    def __init__(self, request_id: str, first_offset: int):
         self._request_id = request_id
-        self._offset = first
+        self._offset = first_offset
         self._buffer = b""
         self._status = 200
         self.finish_reason = ""
         self.problem = ""
-        self.crossed = False
+        self.request_mismatch = False
         self.refusal = b""
 
     def next_offset(self) -> int:
-        """Returns the offset of the next token."""
+        """Returns the offset of the next expected token."""
         return self._offset
 
     def restart(self) -> None:
-        """Drops a partial event before the stream continues over another connection."""
+        """Discards a partial event before the stream continues over a new connection."""
         self._buffer = b""
         self.problem = ""
         self.refusal = b""
 
     def on_head(self, status: int, _: dict[str, str]) -> None:
-        """Notes the status: the body of a refusal holds no events."""
+        """Stores the status; the body of a response other than 200 is not parsed as events."""
         self._status = status
 
     def feed(self, data: bytes) -> list[str]:
-        """Returns the texts of the tokens that `data` completes."""
+        """Parses the next chunk of the stream; returns the texts of the tokens that it completes."""
         if self._status != 200:
-            self.refusal = (self.refusal + data)[:_LONGEST_EVENT]
+            self.refusal = (self.refusal + data)[:_MAX_EVENT_BYTES]
             return []
         if self.problem:
             return []
         *events, self._buffer = (self._buffer + data).split(b"\n\n")
         texts: list[str] = []
         for event in events:
-            if event.startswith(b"data: ") and not self.finish_reason and not self._take(event[6:], texts):
+            if event.startswith(b"data: ") and not self.finish_reason and not self._parse_event(event[6:], texts):
                 break
-        if len(self._buffer) > _LONGEST_EVENT:
+        if len(self._buffer) > _MAX_EVENT_BYTES:
             self.problem = "an event of the engine is too large"
         return texts
 
-    def _take(self, data: bytes, texts: list[str]) -> bool:
+    def _parse_event(self, data: bytes, texts: list[str]) -> bool:
         try:
             event = json.loads(data.decode())
             if event["request_id"] != self._request_id:
-                self.crossed = True
+                self.request_mismatch = True
                 self.problem = "the engine sent an event of another request"
             elif event.get("end"):
                 self.finish_reason = str(event.get("finish_reason") or "stop")
--- a/libs/arbutusrill_entry/_guard.py
+++ b/libs/arbutusrill_entry/_guard.py
@@ -1,4 +1,4 @@
-"""Whether the key of a running request still works."""
+"""Revocation checks for the API key of a running request."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 
 __all__ = ["KeyGuard"]
 
-_PERIOD_S = 0.25  # of the 5 s bound for withdrawn keys, freshness takes 3 s
+_CHECK_INTERVAL_S = 0.25  # requests of a withdrawn key end within 5 s, of which stale configuration takes up to 3 s
 
 
 class KeyGuard:
-    """Checks the key that came with a request, at most every 0.25 s; an empty `key_hash` is never refused."""
+    """Checks whether the key of a request is still valid, at most every 0.25 s.
+
+    An empty `key_hash` stands for a request without a key, which always passes.
+    """
 
     __slots__ = ("_checked_at", "_follower", "_key_hash", "workspace")
 
@@ -23,10 +26,13 @@
         self.workspace = workspace
         self._checked_at = time.monotonic()
 
-    def failure(self, verdict: Verdict, always: bool = False) -> Failure | None:
-        """Returns why the request must end, with `verdict`, or None; `always` ignores the period."""
+    def check_key(self, verdict: Verdict, force: bool = False) -> Failure | None:
+        """Returns the failure with which the request must end, or None while its key is valid.
+
+        `verdict` is the verdict of the failure. `force` checks even if the last check was less than 0.25 s ago.
+        """
         now = time.monotonic()
-        if not self._key_hash or (not always and now - self._checked_at < _PERIOD_S):
+        if not self._key_hash or (not force and now - self._checked_at < _CHECK_INTERVAL_S):
             return None
         self._checked_at = now
         if not self._follower.fresh():
--- a/libs/arbutusrill_entry/_held.py
+++ b/libs/arbutusrill_entry/_held.py
@@ -1,4 +1,4 @@
-"""Tickets that this VM holds at pool owners, and their renewal."""
+"""Renewal of the tickets that this VM holds at pool owners."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from arbutusrill_base import PartLog, TaskGroup
 from arbutusrill_wire import RpcError, messages
 
-from ._backends import PoolClients
+from ._pool_clients import PoolClients
 
-__all__ = ["RENEW_S", "HeldTickets"]
+__all__ = ["RENEW_INTERVAL_S", "HeldTickets"]
 
-RENEW_S = 0.4
-_CALL_S = 0.6  # an owner drops a ticket after 1.2 s without renewal
-_OWNERS_AT_ONCE = 64
+RENEW_INTERVAL_S = 0.4
+_CALL_TIMEOUT_S = 0.6  # owners drop a ticket after 1.2 s without a renewal
+_MAX_PARALLEL_OWNERS = 64
 _log = PartLog("renewals")
 
 
 class HeldTickets:
-    """Reports every held ticket to the present owner of its pool each `RENEW_S` seconds.
+    """Renews every held ticket at the current owner of its pool, every `RENEW_INTERVAL_S` seconds.
 
-    One owner that does not answer delays only its own renewals. A new owner learns from them what is
-    under way on its servers.
+    An owner that does not answer delays only its own renewals. A new owner rebuilds its list of the requests in
+    progress on its servers from the renewals.
     """
 
     def __init__(self, pools: PoolClients, vm: str, incarnation: int):
@@ -32,10 +32,10 @@
         self._lock = threading.Lock()
         self._held_by_ticket: dict[str, Any] = {}
         self._busy_owners: set[str] = set()
-        self._tasks = TaskGroup("renewals", _OWNERS_AT_ONCE)
+        self._tasks = TaskGroup("renewals", _MAX_PARALLEL_OWNERS)
 
     def __enter__(self) -> HeldTickets:
-        self._tasks.every(RENEW_S, self.renew)
+        self._tasks.every(RENEW_INTERVAL_S, self.renew)
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -45,13 +45,13 @@
         return len(self._held_by_ticket)
 
     def add(self, pool: str, assignment: Any, workspace: str, stage: str) -> None:
-        """Starts to renew the ticket of an assignment."""
+        """Starts renewing the ticket of an assignment."""
         held = messages.HeldTicket(assignment.ticket, pool, assignment, workspace, stage)
         with self._lock:
             self._held_by_ticket[held.ticket] = held
 
     def set_stage(self, ticket: str, stage: str) -> None:
-        """Notes that a request entered ``prefill``, ``decode`` or, for a plain service, ``call``."""
+        """Sets the stage of a request that later renewals report, such as ``prefill`` or ``decode``."""
         with self._lock:
             held = self._held_by_ticket.get(ticket)
             if held is not None:
@@ -63,7 +63,7 @@
             self._held_by_ticket.pop(ticket, None)
 
     def renew(self) -> None:
-        """Sends one renewal to each owner, in parallel."""
+        """Sends one renewal to each owner in parallel, except to those whose previous renewal is still running."""
         tickets_by_owner: dict[str, list[Any]] = {}
         with self._lock:
             held = list(self._held_by_ticket.values())
@@ -77,17 +77,17 @@
                     continue
                 self._busy_owners.add(owner)
             if self._tasks.start(self._renew_at, owner, tickets) is None:
-                self._ended(owner)
+                self._mark_idle(owner)
 
     def _renew_at(self, owner: str, tickets: list[Any]) -> None:
         try:
             request = messages.RenewRequest(self._vm, self._incarnation, tickets)
-            self._pools.call_vm(owner, "renew", request, _CALL_S)
+            self._pools.call_vm(owner, "renew", request, _CALL_TIMEOUT_S)
         except (messages.Refused, RpcError) as error:
-            _log.warning("%d tickets not renewed at %s: %s", len(tickets), owner, error)
+            _log.warning("renewal of %d tickets at owner %s failed: %s", len(tickets), owner, error)
         finally:
-            self._ended(owner)
+            self._mark_idle(owner)
 
-    def _ended(self, owner: str) -> None:
+    def _mark_idle(self, owner: str) -> None:
         with self._lock:
             self._busy_owners.discard(owner)
--- a/libs/arbutusrill_entry/_journal.py
+++ b/libs/arbutusrill_entry/_journal.py
@@ -1,4 +1,4 @@
-"""Calls with an idempotency key: what the journal is told of them."""
+"""Journal records of calls with an idempotency key."""
 
 from __future__ import annotations
 
@@ -14,55 +14,59 @@
 
 __all__ = ["JournaledCall"]
 
-_KEPT_HEADERS = ("content-type", "content-encoding", "location", "etag")
+_RECORDED_HEADERS = ("content-type", "content-encoding", "location", "etag")
 
 
 class JournaledCall:
-    """One attempt of a call with an idempotency key: written down before it is sent and after it ended.
+    """One attempt of a call with an idempotency key, recorded before it is sent and after it has ended.
 
-    Keys of routes that are open to all belong to their service, others to the workspace.
+    Keys are scoped to the workspace, or to the service on routes without authentication.
     """
 
     def __init__(self, journal: JournalClient, request: Request, name: str, workspace: str, key: str):
         self._journal = journal
         self._workspace = workspace
         self._key = key if workspace or not key else f"{name}/{key}"
-        self._digest = _digest(request, name)
+        self._request_digest = _request_digest(request, name)
         self._attempt: Attempt | None = None
 
     def begin(self) -> Response | None:
-        """Writes the intent; returns the recorded response when the call has run, raises `FailureError`."""
-        self._attempt = self._journal.begin(self._workspace, self._key, self._digest)
+        """Records the intent to send the call.
+
+        Returns None if the call may be sent and the recorded response if it has already run. Raises `FailureError` in
+        all other cases.
+        """
+        self._attempt = self._journal.begin(self._workspace, self._key, self._request_digest)
         if self._attempt.answer.status == "started":
             return None
-        return _recorded(self._attempt.answer)
+        return _recorded_response(self._attempt.answer)
 
     def check_send(self, deadline: float) -> None:
-        """Raises `FailureError` when it is too late to send; to be called right before the first byte is sent."""
+        """Raises `FailureError` if it is too late to send the call; must run right before the first byte is sent."""
         self._journal.check_send(self._attempt, deadline)
 
     def finish(self, answer: Answer) -> None:
-        """Records the answer, or only that the call has run when the body is too large to keep."""
+        """Records the answer, or only that the call has run if the body is too large to record."""
         body = answer.body
         if body is None:
             self._journal.fail(self._attempt, Verdict.RAN)
             return
-        headers = [(name, answer.headers_by_name[name]) for name in _KEPT_HEADERS if name in answer.headers_by_name]
+        headers = [(name, answer.headers_by_name[name]) for name in _RECORDED_HEADERS if name in answer.headers_by_name]
         self._journal.succeed(self._attempt, answer.status, json.dumps(headers), body, len(body))
 
     def fail(self, verdict: Verdict) -> None:
-        """Records an attempt without an answer; only a proven ``NOT_RUN`` allows another attempt."""
+        """Records an attempt without an answer; only ``NOT_RUN`` allows another attempt."""
         self._journal.fail(self._attempt, verdict)
 
 
-def _digest(request: Request, name: str) -> bytes:
+def _request_digest(request: Request, name: str) -> bytes:
     target = request.environ.get("REQUEST_URI", request.path)
     digest = hashlib.sha256(f"{request.method} {name} {target}\n".encode("utf-8", "surrogateescape"))
     digest.update(request.get_data())
     return digest.digest()
 
 
-def _recorded(answer: Any) -> Response:
+def _recorded_response(answer: Any) -> Response:
     if answer.status == "done":
         headers = [*json.loads(answer.headers_json or "[]"), ("X-Recorded-Answer", "true")]
         return Response(answer.body or b"", answer.http_status, headers)
--- a/libs/arbutusrill_entry/_parse.py
+++ b/libs/arbutusrill_entry/_parse.py
@@ -1,4 +1,4 @@
-"""Checks of the bodies and headers that callers send."""
+"""Parsing and validation of request bodies and headers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from arbutusrill_base import Failure, FailureError
 from werkzeug.wrappers import Request
 
-__all__ = ["Completion", "bad_request", "deadline_of", "json_object", "latency_class_of", "parse_completion"]
+__all__ = ["Completion", "bad_request", "parse_deadline", "json_object", "parse_latency_class", "parse_completion"]
 
 LATENCY_CLASSES = ("lookup", "interactive", "briefing")
 _DEFAULT_OUTPUT_TOKENS = 256
@@ -23,7 +23,7 @@
     "frequency_penalty": (-2, 2),
     "top_logprobs": (0, 20),
 }
-_NAME_BY_KIND = {
+_DESCRIPTION_BY_TYPE = {
     str: "a text",
     bool: "true or false",
     int: "a whole number",
@@ -31,12 +31,12 @@
     list: "a list",
     dict: "an object",
 }
-_BYTES_PER_TOKEN = 4  # usual mean of English text in byte-pair encodings
+_BYTES_PER_TOKEN = 4  # typical average for English text in byte-pair encodings
 
 
 @dataclass(slots=True)
 class Completion:
-    """A checked completion request. Token counts of the prompt are estimates."""
+    """A validated completion request; `prompt_tokens` is an estimate from the length of the prompt."""
 
     model: str
     prompt: str
@@ -48,59 +48,62 @@
 
 
 def bad_request(param: str | None, message: str, code: str = "invalid_value", status: int = 400) -> FailureError:
-    """Returns the error for a request that is wrong in the field `param`."""
+    """Returns the error for a request whose field or header `param` is invalid."""
     return FailureError(Failure(code, message, status=status, param=param))
 
 
 def parse_completion(request: Request, chat: bool) -> Completion:
-    """Checks the body of a completion request; raises `FailureError` naming the wrong field."""
+    """Parses the body of a completion request; raises `FailureError` that names the invalid field."""
     body = json_object(request)
-    model = _take(body, "model", str, required=True)
-    stream = _take(body, "stream", bool) or False
-    options = _take(body, "stream_options", dict) or {}
+    model = _typed_field(body, "model", str, required=True)
+    stream = _typed_field(body, "stream", bool) or False
+    options = _typed_field(body, "stream_options", dict) or {}
     field = "max_completion_tokens" if "max_completion_tokens" in body else "max_tokens"
-    max_tokens = _take(body, field, int)
+    max_tokens = _typed_field(body, field, int)
     if max_tokens is None:
         max_tokens = _DEFAULT_OUTPUT_TOKENS
     if not 1 <= max_tokens <= _MAX_OUTPUT_TOKENS:
         raise bad_request(field, f"{field} must be between 1 and {_MAX_OUTPUT_TOKENS}")
     for name, (lowest, highest) in _NUMBER_RANGES.items():
-        value = _take(body, name, (int, float))
+        value = _typed_field(body, name, (int, float))
         if value is not None and not lowest <= value <= highest:
             raise bad_request(name, f"{name} must be between {lowest:g} and {highest:g}")
-    if _take(body, "n", int) not in (None, 1):
+    if _typed_field(body, "n", int) not in (None, 1):
         raise bad_request("n", "n must be 1")
     prompt = _chat_prompt(body) if chat else _text_prompt(body)
     tokens = max(1, -(-len(prompt.encode("utf-8", "replace")) // _BYTES_PER_TOKEN))
     return Completion(model, prompt, chat, stream, max_tokens, tokens, bool(options.get("include_usage")))
 
 
-def latency_class_of(request: Request, default: str) -> str:
-    """Returns the latency class that the caller names, else `default`."""
+def parse_latency_class(request: Request, default: str) -> str:
+    """Returns the latency class of the ``X-Latency-Class`` header, or `default` without the header."""
     value = request.headers.get("X-Latency-Class", default)
     if value not in LATENCY_CLASSES:
         raise bad_request("X-Latency-Class", f"X-Latency-Class must be one of {', '.join(LATENCY_CLASSES)}")
     return value
 
 
-def deadline_of(request: Request, longest_s: float) -> tuple[float, bool]:
-    """Returns the moment, on the monotonic clock, until which a request may wait, and whether the caller set it."""
+def parse_deadline(request: Request, max_wait_s: float) -> tuple[float, bool]:
+    """Returns the deadline for waiting, in seconds on the monotonic clock, and whether the caller has set it.
+
+    Without the ``X-Deadline-Ms`` header, the deadline is `max_wait_s` from now.
+    """
     text = request.headers.get("X-Deadline-Ms")
     if text is None:
-        return time.monotonic() + longest_s, False
+        return time.monotonic() + max_wait_s, False
     if not (text.isascii() and text.isdigit()) or len(text) > 9 or not 1 <= int(text) <= _MAX_DEADLINE_MS:
         raise bad_request("X-Deadline-Ms", f"X-Deadline-Ms must be a number from 1 to {_MAX_DEADLINE_MS}")
     return time.monotonic() + int(text) / 1000, True
 
 
 def json_object(request: Request) -> dict[str, Any]:
-    """Returns the body, which must be a JSON object; raises `FailureError`."""
+    """Returns the body parsed as a JSON object; raises `FailureError` for any other body."""
     try:
         text = request.get_data().decode("utf-8")
     except UnicodeDecodeError as error:
         raise bad_request(None, f"the body is not UTF-8 at byte {error.start}", "invalid_utf8") from None
     try:
-        body = json.loads(text, parse_constant=_refuse_constant)
+        body = json.loads(text, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
         raise bad_request(None, f"the body is not JSON: {error}", "invalid_json") from None
     if not isinstance(body, dict):
@@ -108,18 +111,18 @@
     return body
 
 
-def _refuse_constant(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise ValueError(f"{name} is not a JSON number")
 
 
-def _take(body: dict[str, Any], name: str, kind: Any, required: bool = False) -> Any:
+def _typed_field(body: dict[str, Any], name: str, expected_type: Any, required: bool = False) -> Any:
     value = body.get(name)
     if value is None:
         if required:
             raise bad_request(name, f"{name} is required", "missing_field")
         return None
-    if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
-        raise bad_request(name, f"{name} must be {_NAME_BY_KIND[kind]}", "wrong_type")
+    if not isinstance(value, expected_type) or (expected_type is not bool and isinstance(value, bool)):
+        raise bad_request(name, f"{name} must be {_DESCRIPTION_BY_TYPE[expected_type]}", "wrong_type")
     return value
 
 
@@ -127,29 +130,29 @@
     prompt = body.get("prompt")
     if isinstance(prompt, list) and len(prompt) == 1 and isinstance(prompt[0], str):
         return prompt[0]
-    return _take(body, "prompt", str, required=True)
+    return _typed_field(body, "prompt", str, required=True)
 
 
 def _chat_prompt(body: dict[str, Any]) -> str:
-    messages = _take(body, "messages", list, required=True)
+    messages = _typed_field(body, "messages", list, required=True)
     if not messages:
         raise bad_request("messages", "messages must not be empty")
     parts = []
     for index, message in enumerate(messages):
-        where = f"messages[{index}]"
+        field_path = f"messages[{index}]"
         if not isinstance(message, dict) or not isinstance(message.get("role"), str):
-            raise bad_request(where, f"{where} must be an object with a role", "wrong_type")
-        parts.append(f"{message['role']}: {_content(message.get('content'), where)}")
+            raise bad_request(field_path, f"{field_path} must be an object with a role", "wrong_type")
+        parts.append(f"{message['role']}: {_message_text(message.get('content'), field_path)}")
     return "\n".join(parts)
 
 
-def _content(content: Any, where: str) -> str:
+def _message_text(content: Any, field_path: str) -> str:
     if content is None:
-        raise bad_request(f"{where}.content", f"{where}.content is required", "missing_field")
+        raise bad_request(f"{field_path}.content", f"{field_path}.content is required", "missing_field")
     if isinstance(content, str):
         return content
     if isinstance(content, list) and all(
         isinstance(part, dict) and isinstance(part.get("text"), str) for part in content
     ):
         return "".join(part["text"] for part in content)
-    raise bad_request(f"{where}.content", f"{where}.content must be text", "wrong_type")
+    raise bad_request(f"{field_path}.content", f"{field_path}.content must be text", "wrong_type")
--- a/libs/arbutusrill_entry/_relay.py
+++ b/libs/arbutusrill_entry/_relay.py
@@ -1,4 +1,4 @@
-"""One completion on the engines: prefill, then decode, token by token, over failures of servers."""
+"""Execution of one completion on the engines: prefill, then streamed decode, with failover between servers."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 from ._events import EventReader
 from ._guard import KeyGuard
 from ._parse import Completion
-from ._slots import Place
-
-__all__ = ["Relay", "RelayEnd"]
-
-_PREFILL_S = 30.0
-_STREAM_S = 3600.0
-_SHORTEST_PREFILL_S = 2.0
-_STALL_S = 1.0
-_FIRST_STALL_S = 2.0
-_FORGOTTEN = (404, 409, 410)  # the engine works but does not have this stream or KV cache (any more)
-_ATTEMPTS = 4
-_JSON = ["Content-Type: application/json"]
+from ._reservation import ServerReservation
+
+__all__ = ["Relay", "RelayResult"]
+
+_MAX_PREFILL_TIMEOUT_S = 30.0
+_STREAM_TIMEOUT_S = 3600.0
+_MIN_PREFILL_TIMEOUT_S = 2.0
+_TOKEN_TIMEOUT_S = 1.0
+_MIN_FIRST_TOKEN_TIMEOUT_S = 2.0
+_STATE_LOST_STATUSES = (404, 409, 410)  # the engine works but does not hold this stream or KV cache
+_MAX_ATTEMPTS = 4
+_JSON_HEADERS = ["Content-Type: application/json"]
 _log = PartLog("relay")
 
 
 @dataclass(slots=True)
-class RelayEnd:
-    """How a stream of tokens ended."""
+class RelayResult:
+    """Finish reason and token counts of a completed stream."""
 
     finish_reason: str
     tokens: int
     prompt_tokens: int
 
 
-class _LostError(Exception):
-    """The servers of this attempt cannot complete the request; `failed_server` is the one at fault."""
+class _AttemptFailedError(Exception):
+    """Raised when the servers of an attempt cannot complete the request because `failed_server` failed."""
 
     def __init__(self, outcome: str, failed_server: str, failure: Failure):
         super().__init__(failure.message)
@@ -49,104 +49,120 @@
         self.failure = failure
 
 
-class _ForgottenError(Exception):
-    """An engine that answers no longer has the request; `lost` is raised when one more prefill did not help."""
+class _EngineStateLostError(Exception):
+    """Raised when a working engine has lost the stream or the KV cache of the request.
 
-    def __init__(self, lost: _LostError):
-        super().__init__(lost.failure.message)
-        self.lost = lost
+    `attempt_error` is raised in its place if this happens again after a second prefill.
+    """
+
+    def __init__(self, attempt_error: _AttemptFailedError):
+        super().__init__(attempt_error.failure.message)
+        self.attempt_error = attempt_error
 
 
 class Relay:
-    """Runs one completion on the servers of a `Place` and changes them when they fail.
+    """Runs one completion on the servers of a reservation and fails over to others.
 
-    `on_tokens` gets the texts of the tokens that arrived together, in order and each once.
+    The callback `on_tokens` receives the texts of the tokens that arrived together, in order and without duplicates.
     """
 
-    def __init__(self, context: EntryContext, place: Place, completion: Completion, guard: KeyGuard):
+    def __init__(self, context: EntryContext, reservation: ServerReservation, completion: Completion, guard: KeyGuard):
         self._context = context
-        self._place = place
+        self._reservation = reservation
         self._completion = completion
         self._guard = guard
         self._texts: list[str] = []
         self._prompt_tokens = 0
         self._reader = EventReader("", 0)
         self._on_tokens: Callable[[list[str]], None] = lambda _: None
-        self._got_token = False
-        self._token_at = 0.0
-        self._decode_at = 0.0
-        self._refused: Failure | None = None
+        self._token_received = False
+        self._last_token_at = 0.0
+        self._decode_started_at = 0.0
+        self._key_failure: Failure | None = None
 
     @property
     def tokens(self) -> int:
-        """Number of output tokens passed on so far."""
+        """Number of output tokens relayed so far."""
         return len(self._texts)
 
-    def run(self, on_tokens: Callable[[list[str]], None]) -> RelayEnd:
-        """Runs prefill and decode; raises `FailureError` or, when the caller has left, `AbortStreamError`."""
+    def run(self, on_tokens: Callable[[list[str]], None]) -> RelayResult:
+        """Runs prefill and decode; raises `FailureError`, or `AbortStreamError` if the caller has disconnected."""
         self._on_tokens = on_tokens
-        self._context.budget.request()
-        for attempt in range(1, _ATTEMPTS + 1):
+        self._context.retry_budget.request()
+        for attempt in range(1, _MAX_ATTEMPTS + 1):
             try:
-                self._run_once()
+                self._run_attempt()
                 break
-            except _LostError as lost:
-                self._move(lost, attempt)
-        return RelayEnd(self._reader.finish_reason, len(self._texts), self._prompt_tokens)
-
-    def _move(self, lost: _LostError, attempt: int) -> None:
-        """Takes other servers after a loss; raises `FailureError` when that is not allowed or not possible."""
-        _log.warning("%s %s at %s: %s", self._place.ticket, lost.outcome, lost.failed_server, lost.failure.message)
-        self._place.blame(lost.outcome, lost.failed_server)
-        if attempt == _ATTEMPTS or not self._context.take_retry():
-            raise FailureError(lost.failure) from None
+            except _AttemptFailedError as attempt_error:
+                self._change_servers(attempt_error, attempt)
+        return RelayResult(self._reader.finish_reason, len(self._texts), self._prompt_tokens)
+
+    def _change_servers(self, attempt_error: _AttemptFailedError, attempt: int) -> None:
+        """Reserves other servers after a failed attempt.
+
+        Raises `FailureError` if no retry is left or no servers are assigned in time.
+        """
+        _log.warning(
+            "request %s: %s at server %s: %s",
+            self._reservation.ticket,
+            attempt_error.outcome,
+            attempt_error.failed_server,
+            attempt_error.failure.message,
+        )
+        self._reservation.set_failure(attempt_error.outcome, attempt_error.failed_server)
+        if attempt == _MAX_ATTEMPTS or not self._context.take_retry():
+            raise FailureError(attempt_error.failure) from None
         try:
-            self._place.move(lost.outcome, lost.failed_server)
+            self._reservation.reassign(attempt_error.outcome, attempt_error.failed_server)
         except FailureError as error:
             failure = error.failure
-            verdict = lost.failure.verdict.worst(failure.verdict)
-            message = f"{lost.failure.message}; {failure.message}"
+            verdict = attempt_error.failure.verdict.worst(failure.verdict)
+            message = f"{attempt_error.failure.message}; {failure.message}"
             raise FailureError(Failure(failure.code, message, verdict, failure.status, failure.retry_after)) from None
 
-    def _run_once(self) -> None:
-        """Runs one attempt; an engine that answers but no longer has the KV cache gets one more prefill."""
-        for again in (False, True):
-            self._reader = EventReader(self._place.ticket, len(self._texts))
-            self._got_token = False
-            result = self._decode(self._prefill(fresh=again), fresh=again)
+    def _run_attempt(self) -> None:
+        """Runs one attempt, with a second prefill if an engine has lost the stream or the KV cache."""
+        for is_repeat in (False, True):
+            self._reader = EventReader(self._reservation.ticket, len(self._texts))
+            self._token_received = False
+            result = self._decode(self._prefill(fresh=is_repeat), fresh=is_repeat)
             try:
                 while not self._reader.finish_reason:
                     result = self._resume(result)
                 break
-            except _ForgottenError as forgotten:
-                if again:
-                    raise forgotten.lost from None
-        self._place.left("decode")
-        self._place.release.tokens = len(self._texts)
-        self._place.release.decode_s = time.monotonic() - self._decode_at
+            except _EngineStateLostError as state_error:
+                if is_repeat:
+                    raise state_error.attempt_error from None
+        self._reservation.clear_stage("decode")
+        self._reservation.release.tokens = len(self._texts)
+        self._reservation.release.decode_s = time.monotonic() - self._decode_started_at
 
     def _prefill(self, fresh: bool) -> dict[str, Any]:
-        assignment = self._place.assignment
+        assignment = self._reservation.assignment
         started = time.monotonic()
         predicted = assignment.predicted_first_token_s or 0
-        limit_s = min(_PREFILL_S, max(_SHORTEST_PREFILL_S, 4 * predicted + 1)) if predicted > 0 else _PREFILL_S
+        limit_s = (
+            min(_MAX_PREFILL_TIMEOUT_S, max(_MIN_PREFILL_TIMEOUT_S, 4 * predicted + 1))
+            if predicted > 0
+            else _MAX_PREFILL_TIMEOUT_S
+        )
         body = {"model": self._completion.model, "prompt": self._completion.prompt + "".join(self._texts)}
-        self._place.visit(assignment.prefill_address, "prefill")
+        self._reservation.mark_stage(assignment.prefill_address, "prefill")
         transfer = self._post(assignment.prefill_address, "/engine/prefill", body, limit_s, fresh)
         result = self._transfer(transfer, self._key_refused)
-        answer = _object(result.body) if result.whole and result.status == 200 else None
-        if answer is None or answer.get("request_id") != self._place.ticket or "kv_handle" not in answer:
+        answer = _parse_json_object(result.body) if result.whole and result.status == 200 else None
+        if answer is None or answer.get("request_id") != self._reservation.ticket or "kv_handle" not in answer:
             if answer is not None:
                 close_connections()
                 result.detail = "the answer is not the one to this request"
-            raise self._lost("prefill_failed", assignment.prefill_server, result)
-        self._place.release.prefill_s = time.monotonic() - started
-        self._place.release.cached_tokens = int(answer.get("cached_tokens") or 0)
+            raise self._attempt_failed("prefill_failed", assignment.prefill_server, result)
+        self._reservation.release.prefill_s = time.monotonic() - started
+        self._reservation.release.cached_tokens = int(answer.get("cached_tokens") or 0)
         self._prompt_tokens = self._prompt_tokens or int(answer.get("prompt_tokens") or 0)
         return answer
 
     def _decode(self, prefill: dict[str, Any], fresh: bool) -> TransferResult:
-        assignment = self._place.assignment
+        assignment = self._reservation.assignment
         body = {
             "model": self._completion.model,
             "kv_handle": prefill["kv_handle"],
@@ -156,95 +172,112 @@
             "max_tokens": self._completion.max_tokens - len(self._texts),
             "priority": assignment.priority or 0,
         }
-        self._decode_at = time.monotonic()
-        self._place.visit(assignment.decode_address, "decode")
-        return self._stream(self._post(assignment.decode_address, "/engine/decode", body, _STREAM_S, fresh))
+        self._decode_started_at = time.monotonic()
+        self._reservation.mark_stage(assignment.decode_address, "decode")
+        return self._stream(self._post(assignment.decode_address, "/engine/decode", body, _STREAM_TIMEOUT_S, fresh))
 
     def _resume(self, broken: TransferResult) -> TransferResult:
-        """Continues the stream over a new connection at the offset reached; raises `_LostError`."""
-        assignment = self._place.assignment
+        """Continues a broken stream over a new connection, from the next token offset.
+
+        Raises `_AttemptFailedError` if the server has failed and `_EngineStateLostError` if it has lost the stream.
+        """
+        assignment = self._reservation.assignment
         if len(self._texts) == self._completion.max_tokens:
             self._reader.finish_reason = "length"
             return broken
-        lost = self._lost("decode_failed", assignment.decode_server, broken)
-        if broken.status in _FORGOTTEN:
-            raise _ForgottenError(lost)
+        attempt_error = self._attempt_failed("decode_failed", assignment.decode_server, broken)
+        if broken.status in _STATE_LOST_STATUSES:
+            raise _EngineStateLostError(attempt_error)
         if broken.error in ("crossed", "connect") or broken.status not in (0, 200):
-            raise lost
+            raise attempt_error
         before = len(self._texts)
-        _log.info("%s resumes after %d tokens: %s", self._place.ticket, before, broken.detail or "stream cut")
-        url = f"{assignment.decode_address}/engine/streams/{self._place.ticket}?offset={self._reader.next_offset()}"
+        _log.info(
+            "request %s: resuming the stream after %d tokens: %s",
+            self._reservation.ticket,
+            before,
+            broken.detail or "stream ended early",
+        )
+        url = (
+            f"{assignment.decode_address}/engine/streams/{self._reservation.ticket}?offset={self._reader.next_offset()}"
+        )
         self._reader.restart()
-        result = self._stream(Transfer("GET", url, fresh=True, timeout_s=_STREAM_S))
-        if result.status in _FORGOTTEN:
-            raise _ForgottenError(self._lost("decode_failed", assignment.decode_server, result))
+        result = self._stream(Transfer("GET", url, fresh=True, timeout_s=_STREAM_TIMEOUT_S))
+        if result.status in _STATE_LOST_STATUSES:
+            raise _EngineStateLostError(self._attempt_failed("decode_failed", assignment.decode_server, result))
         if len(self._texts) == before and not self._reader.finish_reason:
-            raise self._lost("decode_failed", assignment.decode_server, result)
+            raise self._attempt_failed("decode_failed", assignment.decode_server, result)
         return result
 
     def _post(self, address: str, path: str, body: dict[str, Any], timeout_s: float, fresh: bool) -> Transfer:
-        me = self._context.follower.identity
-        whole = {"request_id": self._place.ticket, "vm": me.vm, "incarnation": me.incarnation, **body}
-        return Transfer("POST", address + path, _JSON, json.dumps(whole).encode(), timeout_s, fresh=fresh)
+        identity = self._context.follower.identity
+        payload = {
+            "request_id": self._reservation.ticket,
+            "vm": identity.vm,
+            "incarnation": identity.incarnation,
+            **body,
+        }
+        return Transfer("POST", address + path, _JSON_HEADERS, json.dumps(payload).encode(), timeout_s, fresh=fresh)
 
     def _stream(self, transfer: Transfer) -> TransferResult:
         transfer.on_head = self._reader.on_head
         transfer.on_data = self._on_data
-        self._token_at = time.monotonic()
-        result = self._transfer(transfer, self._stopped)
-        if self._reader.crossed:
+        self._last_token_at = time.monotonic()
+        result = self._transfer(transfer, self._should_stop)
+        if self._reader.request_mismatch:
             result.error = "crossed"
         elif self._reader.problem:
             result.error = "broken"
         elif result.error == "stopped":
-            result.detail = f"no token for {self._stall_s():g} s"
+            result.detail = f"no token for {self._token_timeout_s():g} s"
         result.detail = self._reader.problem or result.detail
         return result
 
     def _transfer(self, transfer: Transfer, should_stop: Callable[[], bool]) -> TransferResult:
-        self._refused = None
-        transfer.watched = self._place.caller
+        self._key_failure = None
+        transfer.watched = self._reservation.caller
         transfer.should_stop = should_stop
         result = fetch(transfer)
         if result.error == "gone":
             raise AbortStreamError
-        if self._refused is not None:
-            raise FailureError(self._refused)
+        if self._key_failure is not None:
+            raise FailureError(self._key_failure)
         return result
 
     def _key_refused(self) -> bool:
-        self._refused = self._refused or self._guard.failure(Verdict.MAY_HAVE_RUN)
-        return self._refused is not None
+        self._key_failure = self._key_failure or self._guard.check_key(Verdict.MAY_HAVE_RUN)
+        return self._key_failure is not None
 
-    def _stall_s(self) -> float:
-        """Returns how long the next token may take; the first one includes the transfer of the KV cache."""
-        if self._got_token:
-            return _STALL_S
-        return max(_FIRST_STALL_S, 4 * (self._place.assignment.predicted_first_token_s or 0))
+    def _token_timeout_s(self) -> float:
+        """Returns the timeout for the next token; the first one includes the transfer of the KV cache."""
+        if self._token_received:
+            return _TOKEN_TIMEOUT_S
+        return max(_MIN_FIRST_TOKEN_TIMEOUT_S, 4 * (self._reservation.assignment.predicted_first_token_s or 0))
 
-    def _stopped(self) -> bool:
+    def _should_stop(self) -> bool:
         if self._reader.problem or self._key_refused():
             return True
-        return time.monotonic() - self._token_at >= self._stall_s()
+        return time.monotonic() - self._last_token_at >= self._token_timeout_s()
 
     def _on_data(self, data: bytes) -> None:
         texts = self._reader.feed(data)
         if texts:
-            self._token_at = time.monotonic()
-            if not self._got_token:
-                self._got_token = True
-                self._place.left("prefill")
+            self._last_token_at = time.monotonic()
+            if not self._token_received:
+                self._token_received = True
+                self._reservation.clear_stage("prefill")
             self._texts += texts
             self._on_tokens(texts)
 
-    def _lost(self, outcome: str, server: str, result: TransferResult) -> _LostError:
+    def _attempt_failed(self, outcome: str, server: str, result: TransferResult) -> _AttemptFailedError:
         verdict = result.verdict if result.status == 0 and not self._texts else Verdict.MAY_HAVE_RUN
         detail = result.detail or f"status {result.status}"
         code = "crossed_answer" if result.error == "crossed" else outcome
-        return _LostError(outcome, server, Failure(code, f"the engine did not answer: {detail}", verdict, 502, 1.0))
+        return _AttemptFailedError(
+            outcome, server, Failure(code, f"the engine did not answer: {detail}", verdict, 502, 1.0)
+        )
 
 
-def _object(data: bytes) -> dict[str, Any] | None:
+def _parse_json_object(data: bytes) -> dict[str, Any] | None:
     try:
         value = json.loads(data)
     except ValueError:
--- a/libs/arbutusrill_entry/_services.py
+++ b/libs/arbutusrill_entry/_services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: repeatable ones, and those that may run at most once."""
+"""Calls to plain services: repeatable calls with retries, and calls that run at most once."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from werkzeug.wrappers import Request
 
 from ._answer import Answer
-from ._auth import authenticate, passed_headers, passed_query, refuse_key_in_body, refuse_key_in_path
+from ._auth import authenticate, forwarded_headers, forwarded_query, refuse_key_in_body, refuse_key_in_path
 from ._call import Call
 from ._context import EntryContext
 from ._guard import KeyGuard
 from ._journal import JournaledCall
-from ._parse import deadline_of, latency_class_of
-from ._slots import Place, Wanted, leave_check
-from ._target import raw_path, route_of
+from ._parse import parse_deadline, parse_latency_class
+from ._reservation import Requirements, ServerReservation, make_wait_check
+from ._routes import match_route, raw_path
 
 __all__ = ["Services"]
 
-_CALL_S = 600.0
-_SILENCE_S = 30.0
-_FIRST_SILENCE_S = 2.0  # on a kept connection, whose state a middlebox may have lost
-_ATTEMPTS = 3
+_CALL_TIMEOUT_S = 600.0
+_STALL_TIMEOUT_S = 30.0
+_FIRST_ATTEMPT_STALL_TIMEOUT_S = 2.0  # a middlebox may have dropped the state of a reused connection
+_MAX_ATTEMPTS = 3
 
 
 class Services:
@@ -35,51 +35,55 @@
         self._context = context
 
     def serve(self, request: Request, start_response: Callable, name: str, call: Call) -> Iterable[bytes]:
-        """Serves one call; raises `FailureError` for whatever the server did not answer itself."""
+        """Serves one call; raises `FailureError` if no server answers it."""
         follower = self._context.follower
         path = raw_path(request)
-        route = route_of(follower.config, name, request.method, path)
+        route = match_route(follower.config, name, request.method, path)
         guard = KeyGuard(follower, "", "") if route.open else authenticate(request, follower)
         call.workspace, call.route = guard.workspace, f"services/{name}"
         refuse_key_in_path(request, path)
         refuse_key_in_body(request, follower)
-        sending = _Sending(self._context, request, start_response, name, path, route.repeatable, guard, call)
+        service_call = _ServiceCall(self._context, request, start_response, name, path, route.repeatable, guard, call)
         key = request.headers.get("Idempotency-Key")
-        with self._charge(sending.wanted, request.environ["werkzeug.socket"], guard) as charge:
+        with self._charge(service_call.requirements, request.environ["werkzeug.socket"], guard) as charge:
             try:
                 if route.repeatable or key is None:
-                    return sending.run().finish(request.environ)
-                return self._once(sending, JournaledCall(self._context.journal, request, name, guard.workspace, key))
+                    return service_call.run().finish(request.environ)
+                return self._serve_journaled(
+                    service_call, JournaledCall(self._context.journal, request, name, guard.workspace, key)
+                )
             finally:
-                if sending.verdict is Verdict.NOT_RUN:
+                if service_call.verdict is Verdict.NOT_RUN:
                     charge.settle(0)
 
-    def _charge(self, wanted: Wanted, caller: socket.socket, guard: KeyGuard) -> Charge:
+    def _charge(self, requirements: Requirements, caller: socket.socket, guard: KeyGuard) -> Charge:
         config = self._context.follower.config
-        # Routes open to all have no workspace to charge.
+        # A route without authentication has no workspace to charge.
         tokens = 0.0
         if guard.workspace:
-            tokens = config.value("limits.plain_call_tokens", workspace=guard.workspace, service=wanted.pool)
-        return self._context.limits.charge(guard.workspace, tokens, wanted.deadline, leave_check(caller, guard))
+            tokens = config.value("limits.plain_call_tokens", workspace=guard.workspace, service=requirements.pool)
+        return self._context.limits.charge(
+            guard.workspace, tokens, requirements.deadline, make_wait_check(caller, guard)
+        )
 
-    def _once(self, sending: _Sending, journaled: JournaledCall) -> Iterable[bytes]:
+    def _serve_journaled(self, service_call: _ServiceCall, journaled: JournaledCall) -> Iterable[bytes]:
         recorded = journaled.begin()
         if recorded is not None:
-            return recorded(sending.request.environ, sending.start_response)
+            return recorded(service_call.request.environ, service_call.start_response)
         try:
-            answer = sending.run(journaled)
+            answer = service_call.run(journaled)
         except BaseException:
-            journaled.fail(sending.verdict)
+            journaled.fail(service_call.verdict)
             raise
         journaled.finish(answer)
-        return answer.finish(sending.request.environ)
+        return answer.finish(service_call.request.environ)
 
 
-class _Sending:
-    """Sends one call to a server, and to another one where that is safe.
+class _ServiceCall:
+    """Sends one call to a server and retries it at another one if that is safe.
 
-    `verdict` is at any moment true of the attempts so far, also when an exception ends them: it is raised
-    before the first byte can leave and lowered only by proof.
+    `verdict` holds for all attempts so far, even after an exception: it becomes ``MAY_HAVE_RUN`` before the first
+    byte is sent and returns to ``NOT_RUN`` only if the request provably did not run.
     """
 
     def __init__(
@@ -101,57 +105,59 @@
         self._call = call
         self._caller = request.environ["werkzeug.socket"]
         self.request = request
-        self.wanted = self._wanted()
+        self.requirements = self._make_requirements()
         self.start_response = start_response
         self._journaled: JournaledCall | None = None
         self.verdict = Verdict.NOT_RUN
 
     def run(self, journaled: JournaledCall | None = None) -> Answer:
-        """Returns a complete answer; raises `FailureError` or `AbortStreamError`."""
+        """Returns the complete answer; raises `FailureError`, or `AbortStreamError` if the response cannot continue."""
         self._journaled = journaled
-        if self._context.pools.known(self._name) is None:
+        if self._context.pools.find_pool(self._name) is None:
             raise FailureError(Failure("no_server", f"no server of {self._name!r} is known", retry_after=1.0))
         if self._repeatable:
-            self._context.budget.request()
-        with Place(self._context, self.wanted, self._caller, self._guard) as place:
-            for attempt in range(1, _ATTEMPTS + 1):
-                answer, result = self._send(place, attempt)
+            self._context.retry_budget.request()
+        with ServerReservation(self._context, self.requirements, self._caller, self._guard) as reservation:
+            for attempt in range(1, _MAX_ATTEMPTS + 1):
+                answer, result = self._send(reservation, attempt)
                 if result.whole:
                     return answer
                 outcome = "not_sent" if result.verdict is Verdict.NOT_RUN else "decode_failed"
-                place.blame(outcome, place.assignment.decode_server)
+                reservation.set_failure(outcome, reservation.assignment.decode_server)
                 self._check_retry(answer, result, attempt)
                 try:
-                    place.move(outcome, place.assignment.decode_server)
+                    reservation.reassign(outcome, reservation.assignment.decode_server)
                 except FailureError as error:
-                    raise self._with_verdict(error.failure) from None
+                    raise self._add_verdict(error.failure) from None
         raise AssertionError("the last attempt returns or raises")
 
-    def _wanted(self) -> Wanted:
+    def _make_requirements(self) -> Requirements:
         config = self._context.follower.config
-        latency_class = latency_class_of(self.request, "lookup" if self._repeatable else "interactive")
+        latency_class = parse_latency_class(self.request, "lookup" if self._repeatable else "interactive")
         wait_s = config.value(f"queue.max_wait_s.{latency_class}", workspace=self._guard.workspace, service=self._name)
-        deadline, own = deadline_of(self.request, wait_s)
-        return Wanted(
+        deadline, set_by_caller = parse_deadline(self.request, wait_s)
+        return Requirements(
             self._name,
             self._call.request_id,
             self._guard.workspace,
             latency_class,
             deadline,
             weight=config.share_weight(self._guard.workspace),
-            move_wait_s=wait_s,
-            last_moment=deadline if own else float("inf"),
+            reassign_wait_s=wait_s,
+            caller_deadline=deadline if set_by_caller else float("inf"),
         )
 
-    def _send(self, place: Place, attempt: int) -> tuple[Answer, TransferResult]:
-        failure = self._guard.failure(self.verdict, always=True)
+    def _send(self, reservation: ServerReservation, attempt: int) -> tuple[Answer, TransferResult]:
+        failure = self._guard.check_key(self.verdict, force=True)
         if failure is not None:
             raise FailureError(failure)
-        kept = 0 if self._repeatable else self._context.follower.config.value("journal.answer_bytes")
-        answer = Answer(self.start_response, self._call.request_id, kept, outlives_caller=not self._repeatable)
-        transfer = self._transfer(place, attempt, answer)
+        max_recorded_bytes = 0 if self._repeatable else self._context.follower.config.value("journal.answer_bytes")
+        answer = Answer(
+            self.start_response, self._call.request_id, max_recorded_bytes, read_after_disconnect=not self._repeatable
+        )
+        transfer = self._make_transfer(reservation, attempt, answer)
         if self._journaled is not None:
-            self._journaled.check_send(self.wanted.deadline)
+            self._journaled.check_send(self.requirements.deadline)
         before = self.verdict
         self.verdict = before.worst(Verdict.MAY_HAVE_RUN)
         result = fetch(transfer)
@@ -159,54 +165,54 @@
         if result.error == "gone":
             raise AbortStreamError
         if result.error == "stopped":
-            failure = self._guard.failure(self.verdict, always=True)
-            raise FailureError(failure or _failure(self._name, result, self.verdict))
+            failure = self._guard.check_key(self.verdict, force=True)
+            raise FailureError(failure or _service_failure(self._name, result, self.verdict))
         return answer, result
 
-    def _transfer(self, place: Place, attempt: int, answer: Answer) -> Transfer:
-        query = passed_query(self.request)
-        headers = [*passed_headers(self.request), f"X-Request-Id: {self._call.request_id}"]
+    def _make_transfer(self, reservation: ServerReservation, attempt: int, answer: Answer) -> Transfer:
+        query = forwarded_query(self.request)
+        headers = [*forwarded_headers(self.request), f"X-Request-Id: {self._call.request_id}"]
         if self._guard.workspace:
             headers.append(f"X-Workspace: {self._guard.workspace}")
         transfer = Transfer(
             self.request.method,
-            f"{place.assignment.decode_address}/{self._path}" + (f"?{query}" if query else ""),
+            f"{reservation.assignment.decode_address}/{self._path}" + (f"?{query}" if query else ""),
             headers,
             self.request.get_data(),
-            _CALL_S,
-            _SILENCE_S,
+            _CALL_TIMEOUT_S,
+            _STALL_TIMEOUT_S,
             fresh=not self._repeatable or attempt > 1,
             on_head=answer.on_head,
             on_data=answer.on_data,
         )
         if self._repeatable:
-            # A call that may run only once is never cut: its outcome would be unknown.
+            # A call that may run at most once is never aborted, since its outcome would be unknown.
             transfer.watched = self._caller
             transfer.should_stop = self._key_refused
-            transfer.stall_s = _FIRST_SILENCE_S if attempt == 1 else _SILENCE_S
+            transfer.stall_s = _FIRST_ATTEMPT_STALL_TIMEOUT_S if attempt == 1 else _STALL_TIMEOUT_S
         return transfer
 
     def _key_refused(self) -> bool:
-        return self._guard.failure(Verdict.MAY_HAVE_RUN) is not None
+        return self._guard.check_key(Verdict.MAY_HAVE_RUN) is not None
 
     def _check_retry(self, answer: Answer, result: TransferResult, attempt: int) -> None:
-        """Returns when another attempt is safe and allowed, raises otherwise."""
-        failure = _failure(self._name, result, self.verdict)
+        """Raises `FailureError` or `AbortStreamError` unless another attempt is safe and within the retry budget."""
+        failure = _service_failure(self._name, result, self.verdict)
         if answer.begun:
-            self._call.failed(failure)
+            self._call.set_failure(failure)
             raise AbortStreamError
-        if attempt == _ATTEMPTS:
+        if attempt == _MAX_ATTEMPTS:
             raise FailureError(failure)
         if result.verdict is Verdict.NOT_RUN:
             return
         if not self._repeatable or not self._context.take_retry():
             raise FailureError(failure)
 
-    def _with_verdict(self, failure: Failure) -> FailureError:
+    def _add_verdict(self, failure: Failure) -> FailureError:
         verdict = self.verdict.worst(failure.verdict)
         return FailureError(Failure(failure.code, failure.message, verdict, failure.status, failure.retry_after))
 
 
-def _failure(name: str, result: TransferResult, verdict: Verdict) -> Failure:
+def _service_failure(name: str, result: TransferResult, verdict: Verdict) -> Failure:
     message = f"the service {name!r} did not answer: {result.detail}"
     return Failure("service_unavailable", message, verdict, 502, 1.0 if verdict is Verdict.NOT_RUN else None)
--- a/libs/arbutusrill_entry/tests/rig.py
+++ b/libs/arbutusrill_entry/tests/rig.py
@@ -136,7 +136,7 @@
         self.reply = None
         self.failing = set()
 
-    def known(self, pool):
+    def find_pool(self, pool):
         return self.config.pools_by_name.get(pool)
 
     def owner_of(self, pool):
@@ -195,7 +195,7 @@
         self.follower.apply(messages.AssignPool("seats", "service", "owner1", 1, 1))
         self.pools = StubPools(self.follower.config)
         self.control = StubControl()
-        self.budget = RetryBudget()
+        self.retry_budget = RetryBudget()
         clock = SystemClock()
         self.limits = TokenLeases("entry1", 7, all_granted, lambda _: Limits(1000.0, 100000.0), clock)
         self.limits.start(stack.enter_context(TaskGroup("limits", 2)))
@@ -213,7 +213,7 @@
             clock=clock,
             cleanup=cleanup,
             held=self.held,
-            budget=self.budget,
+            retry_budget=self.retry_budget,
             meters=self.meters,
         )
         self.app = EntryApp(self.context, hash_key("announce"))
--- a/libs/arbutusrill_entry/tests/test_relay.py
+++ b/libs/arbutusrill_entry/tests/test_relay.py
@@ -105,7 +105,7 @@
 
 
 def test_no_retry_without_budget(rig):
-    while rig.budget.take():
+    while rig.retry_budget.take():
         pass
     rig.engine().die_at = 5
     assert_cut(rig.chat(stream=True), "decode_failed")
@@ -224,4 +224,4 @@
         connection.makefile("rb").readline()
     rig.follower.apply(messages.WithdrawKey("k1"))
     assert rig.call("GET", "/v1/models")[0] == 401
-    assert KEY not in rig.meters.text().decode()
+    assert KEY not in rig.meters.render().decode()
