--- a/libs/arbutusrill_entry/__init__.py
+++ b/libs/arbutusrill_entry/__init__.py
@@ -4,7 +4,7 @@
 from ._cleanup import Cleanup
 from ._context import EntryContext
 from ._drain import Drain
-from ._held import HeldTickets
+from ._held_tickets import HeldTickets
 from ._meters import Meters
 from ._pool_clients import PoolClients
 from ._reports import REPORT_S, report_burn
--- a/libs/arbutusrill_entry/_call.py
+++ b/libs/arbutusrill_entry/_call.py
@@ -32,7 +32,7 @@
         self._follower = follower
         self._started_at = time.monotonic()
         self._last_token_at = 0.0
-        self._tokens = 0
+        self._token_count = 0
         self._failure: Failure | None = None
 
     def __enter__(self) -> Call:
@@ -46,30 +46,30 @@
         if self._failure is None and error is not None:
             caller_left = isinstance(error, (AbortStreamError, ConnectionError, TimeoutError))
             self._failure = _to_failure(error)
-        elapsed = time.monotonic() - self._started_at
+        elapsed_s = time.monotonic() - self._started_at
         failure = self._failure
         verdict = "gone" if caller_left else failure.verdict.value if failure is not None else "ok"
         self._meters.requests.labels(self.route, verdict).inc()
-        self._meters.request_s.labels(self.route).observe(elapsed)
-        if self._tokens:
-            self._meters.tokens.inc(self._tokens)
+        self._meters.request_s.labels(self.route).observe(elapsed_s)
+        if self._token_count:
+            self._meters.tokens.inc(self._token_count)
         if failure is not None:
-            self._log_failure(failure, elapsed)
+            self._log_failure(failure, elapsed_s)
         if not caller_left:
             self._record_targets(failure)
 
     def add_tokens(self, count: int) -> None:
         """Counts `count` output tokens that arrived now."""
         self._last_token_at = time.monotonic()
-        if not self._tokens:
+        if not self._token_count:
             self.first_token_s = self._last_token_at - self._started_at
-        self._tokens += count
+        self._token_count += count
 
     def set_failure(self, failure: Failure) -> None:
         """Records the failure of a call whose response has already begun."""
         self._failure = failure
 
-    def _log_failure(self, failure: Failure, elapsed: float) -> None:
+    def _log_failure(self, failure: Failure, elapsed_s: float) -> None:
         _log.info(
             "request %s on route %s of workspace %s failed with %s (verdict %s, status %d) after %.3f s: %s",
             self.request_id,
@@ -78,7 +78,7 @@
             failure.code,
             failure.verdict.value,
             failure.status,
-            elapsed,
+            elapsed_s,
             redact_keys(failure.message),
         )
 
@@ -86,16 +86,16 @@
         if not self.workspace or (failure is not None and failure.status < 500):
             return
         self._count_target("availability", failure is None)
-        if not self._tokens:
+        if not self._token_count:
             return
         scope = {"workspace": self.workspace}
         config = self._follower.config
         self._meters.first_token_s.labels(self.route).observe(self.first_token_s)
         self._count_target("first_token", self.first_token_s <= config.value("targets.first_token_s", **scope))
-        if self._tokens > 1:
-            gap = (self._last_token_at - self._started_at - self.first_token_s) / (self._tokens - 1)
-            self._meters.token_gap_s.labels(self.route).observe(gap)
-            self._count_target("token_gap", gap <= config.value("targets.token_gap_s", **scope))
+        if self._token_count > 1:
+            gap_s = (self._last_token_at - self._started_at - self.first_token_s) / (self._token_count - 1)
+            self._meters.token_gap_s.labels(self.route).observe(gap_s)
+            self._count_target("token_gap", gap_s <= config.value("targets.token_gap_s", **scope))
 
     def _count_target(self, target: str, good: bool) -> None:
         self._meters.burn.add(self.workspace, self.route, target, good)
--- a/libs/arbutusrill_entry/_completions.py
+++ b/libs/arbutusrill_entry/_completions.py
@@ -55,7 +55,7 @@
                         return _stream_response(relay, reservation, completion, call, start_response)
                     return _whole_response(relay, reservation, completion, call)(request.environ, start_response)
                 finally:
-                    charge.used = completion.prompt_tokens + relay.tokens
+                    charge.used = completion.prompt_tokens + relay.token_count
 
     def _make_requirements(
         self, request: Request, completion: Completion, guard: KeyGuard, request_id: str
@@ -88,14 +88,14 @@
         reservation.release.first_token_s = call.first_token_s
         tokens.extend(texts)
 
-    end = relay.run(on_tokens)
+    result = relay.run(on_tokens)
     text = "".join(tokens)
-    choice: dict[str, Any] = {"index": 0, "finish_reason": end.finish_reason, "logprobs": None}
+    choice: dict[str, Any] = {"index": 0, "finish_reason": result.finish_reason, "logprobs": None}
     if completion.chat:
         choice["message"] = {"role": "assistant", "content": text, "refusal": None}
     else:
         choice["text"] = text
-    body = {**_envelope(completion, call.request_id, streamed=False), "choices": [choice], "usage": _usage(end)}
+    body = {**_envelope(completion, call.request_id, streamed=False), "choices": [choice], "usage": _usage(result)}
     return json_response(body, headers={"X-Request-Id": call.request_id})
 
 
@@ -132,10 +132,10 @@
         before, after = self._text_prefix, self._text_suffix
         self.write(b"".join([before + _json_string(text) + after for text in texts]))
 
-    def write_end(self, end: RelayResult, include_usage: bool) -> None:
-        last = _sse_event({**self._envelope, "choices": [_choice(self._chat, "", end.finish_reason)]})
+    def write_end(self, result: RelayResult, include_usage: bool) -> None:
+        last = _sse_event({**self._envelope, "choices": [_choice(self._chat, "", result.finish_reason)]})
         if include_usage:
-            last += _sse_event({**self._envelope, "choices": [], "usage": _usage(end)})
+            last += _sse_event({**self._envelope, "choices": [], "usage": _usage(result)})
         self.write(last + b"data: [DONE]\n\n")
 
 
@@ -150,14 +150,14 @@
         writer.write_tokens(texts)
 
     try:
-        end = relay.run(on_tokens)
+        result = relay.run(on_tokens)
     except FailureError as error:
         if not writer.begun:
             raise
         call.set_failure(error.failure)
         writer.write(_sse_event(error_body(error.failure)))
         raise AbortStreamError from None
-    writer.write_end(end, completion.include_usage)
+    writer.write_end(result, completion.include_usage)
     return []
 
 
@@ -177,11 +177,11 @@
     return choice
 
 
-def _usage(end: RelayResult) -> dict[str, int]:
+def _usage(result: RelayResult) -> dict[str, int]:
     return {
-        "prompt_tokens": end.prompt_tokens,
-        "completion_tokens": end.tokens,
-        "total_tokens": end.prompt_tokens + end.tokens,
+        "prompt_tokens": result.prompt_tokens,
+        "completion_tokens": result.output_tokens,
+        "total_tokens": result.prompt_tokens + result.output_tokens,
     }
 
 
--- a/libs/arbutusrill_entry/_context.py
+++ b/libs/arbutusrill_entry/_context.py
@@ -9,7 +9,7 @@
 from arbutusrill_state import ControlClient, Follower, JournalClient
 
 from ._cleanup import Cleanup
-from ._held import HeldTickets
+from ._held_tickets import HeldTickets
 from ._meters import Meters
 from ._pool_clients import PoolClients
 
--- a/libs/arbutusrill_entry/_meters.py
+++ b/libs/arbutusrill_entry/_meters.py
@@ -37,7 +37,7 @@
             "arbutusrill_open_requests", "Requests under way by route.", ["route"], registry=self.registry
         )
 
-        self.waiting = Gauge(
+        self.waiting_requests = Gauge(
             "arbutusrill_waiting_requests", "Requests that wait for a place on servers.", registry=self.registry
         )
 
--- a/libs/arbutusrill_entry/_parse.py
+++ b/libs/arbutusrill_entry/_parse.py
@@ -10,7 +10,7 @@
 from arbutusrill_base import Failure, FailureError
 from werkzeug.wrappers import Request
 
-__all__ = ["Completion", "bad_request", "parse_deadline", "json_object", "parse_latency_class", "parse_completion"]
+__all__ = ["Completion", "bad_request", "json_object", "parse_completion", "parse_deadline", "parse_latency_class"]
 
 LATENCY_CLASSES = ("lookup", "interactive", "briefing")
 _DEFAULT_OUTPUT_TOKENS = 256
--- a/libs/arbutusrill_entry/_relay.py
+++ b/libs/arbutusrill_entry/_relay.py
@@ -35,7 +35,7 @@
     """Finish reason and token counts of a completed stream."""
 
     finish_reason: str
-    tokens: int
+    output_tokens: int
     prompt_tokens: int
 
 
@@ -81,7 +81,7 @@
         self._key_failure: Failure | None = None
 
     @property
-    def tokens(self) -> int:
+    def token_count(self) -> int:
         """Number of output tokens relayed so far."""
         return len(self._texts)
 
@@ -140,10 +140,10 @@
     def _prefill(self, fresh: bool) -> dict[str, Any]:
         assignment = self._reservation.assignment
         started = time.monotonic()
-        predicted = assignment.predicted_first_token_s or 0
+        predicted_s = assignment.predicted_first_token_s or 0
         limit_s = (
-            min(_MAX_PREFILL_TIMEOUT_S, max(_MIN_PREFILL_TIMEOUT_S, 4 * predicted + 1))
-            if predicted > 0
+            min(_MAX_PREFILL_TIMEOUT_S, max(_MIN_PREFILL_TIMEOUT_S, 4 * predicted_s + 1))
+            if predicted_s > 0
             else _MAX_PREFILL_TIMEOUT_S
         )
         body = {"model": self._completion.model, "prompt": self._completion.prompt + "".join(self._texts)}
@@ -155,7 +155,7 @@
             if answer is not None:
                 close_connections()
                 result.detail = "the answer is not the one to this request"
-            raise self._attempt_failed("prefill_failed", assignment.prefill_server, result)
+            raise self._make_attempt_error("prefill_failed", assignment.prefill_server, result)
         self._reservation.release.prefill_s = time.monotonic() - started
         self._reservation.release.cached_tokens = int(answer.get("cached_tokens") or 0)
         self._prompt_tokens = self._prompt_tokens or int(answer.get("prompt_tokens") or 0)
@@ -185,7 +185,7 @@
         if len(self._texts) == self._completion.max_tokens:
             self._reader.finish_reason = "length"
             return broken
-        attempt_error = self._attempt_failed("decode_failed", assignment.decode_server, broken)
+        attempt_error = self._make_attempt_error("decode_failed", assignment.decode_server, broken)
         if broken.status in _STATE_LOST_STATUSES:
             raise _EngineStateLostError(attempt_error)
         if broken.error in ("crossed", "connect") or broken.status not in (0, 200):
@@ -203,9 +203,9 @@
         self._reader.restart()
         result = self._stream(Transfer("GET", url, fresh=True, timeout_s=_STREAM_TIMEOUT_S))
         if result.status in _STATE_LOST_STATUSES:
-            raise _EngineStateLostError(self._attempt_failed("decode_failed", assignment.decode_server, result))
+            raise _EngineStateLostError(self._make_attempt_error("decode_failed", assignment.decode_server, result))
         if len(self._texts) == before and not self._reader.finish_reason:
-            raise self._attempt_failed("decode_failed", assignment.decode_server, result)
+            raise self._make_attempt_error("decode_failed", assignment.decode_server, result)
         return result
 
     def _post(self, address: str, path: str, body: dict[str, Any], timeout_s: float, fresh: bool) -> Transfer:
@@ -268,7 +268,7 @@
             self._texts += texts
             self._on_tokens(texts)
 
-    def _attempt_failed(self, outcome: str, server: str, result: TransferResult) -> _AttemptFailedError:
+    def _make_attempt_error(self, outcome: str, server: str, result: TransferResult) -> _AttemptFailedError:
         verdict = result.verdict if result.status == 0 and not self._texts else Verdict.MAY_HAVE_RUN
         detail = result.detail or f"status {result.status}"
         code = "crossed_answer" if result.error == "crossed" else outcome
--- a/libs/arbutusrill_entry/_reservation.py
+++ b/libs/arbutusrill_entry/_reservation.py
@@ -16,7 +16,7 @@
 from ._context import EntryContext
 from ._guard import KeyGuard
 
-__all__ = ["ServerReservation", "Requirements", "make_wait_check"]
+__all__ = ["Requirements", "ServerReservation", "make_wait_check"]
 
 _MAX_ACQUIRE_WAIT_MS = 300
 _RETRY_PAUSE_S = 0.05
@@ -108,7 +108,7 @@
 
     def clear_stage(self, stage: str) -> None:
         """Records that no engine holds the request for `stage` any longer; it may still be held for the other stage."""
-        self._engine_stages = [visited for visited in self._engine_stages if visited[1] != stage]
+        self._engine_stages = [engine_stage for engine_stage in self._engine_stages if engine_stage[1] != stage]
 
     def set_failure(self, outcome: str, failed_server: str) -> None:
         """Sets the outcome and the failed server to report to the owner if the context ends with an exception."""
@@ -131,7 +131,7 @@
         self.ticket = self._requirements.request_id + suffix
         self.release = messages.ReleaseRequest(self._requirements.pool, self.ticket, "gone")
         try:
-            with self._context.meters.waiting.track_inprogress():
+            with self._context.meters.waiting_requests.track_inprogress():
                 self.assignment = self._wait_for_assignment(deadline)
         except BaseException:
             self._cancel_and_release("gone", "")
@@ -184,8 +184,8 @@
         # A renewal after the release would make the owner register the ticket again.
         self._context.held.remove(self.ticket)
         if not _try_release(self._context, release):
-            what = f"{self.ticket} release"
-            self._context.cleanup.add(what, lambda: _try_release(self._context, release), _CLEANUP_TIMEOUT_S)
+            description = f"{self.ticket} release"
+            self._context.cleanup.add(description, lambda: _try_release(self._context, release), _CLEANUP_TIMEOUT_S)
 
     def _cancel_and_release(self, outcome: str, failed_server: str) -> None:
         self.release.outcome = outcome
--- a/libs/arbutusrill_entry/_routes.py
+++ b/libs/arbutusrill_entry/_routes.py
@@ -13,7 +13,7 @@
 
 from ._parse import bad_request
 
-__all__ = ["raw_path", "match_route"]
+__all__ = ["match_route", "raw_path"]
 
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 _VISIBLE_ASCII = re.compile(r"[!-~]*")
--- a/libs/arbutusrill_entry/_services.py
+++ b/libs/arbutusrill_entry/_services.py
@@ -111,7 +111,7 @@
         self.verdict = Verdict.NOT_RUN
 
     def run(self, journaled: JournaledCall | None = None) -> Answer:
-        """Returns the complete answer; raises `FailureError`, or `AbortStreamError` if the response cannot continue."""
+        """Returns the complete answer; raises `FailureError`, or `AbortStreamError` to abort the response."""
         self._journaled = journaled
         if self._context.pools.find_pool(self._name) is None:
             raise FailureError(Failure("no_server", f"no server of {self._name!r} is known", retry_after=1.0))
@@ -186,7 +186,7 @@
             on_data=answer.on_data,
         )
         if self._repeatable:
-            # A call that may run at most once is never aborted, since its outcome would be unknown.
+            # Only repeatable calls may be aborted: the outcome of any other aborted call would be unknown.
             transfer.watched = self._caller
             transfer.should_stop = self._key_refused
             transfer.stall_s = _FIRST_ATTEMPT_STALL_TIMEOUT_S if attempt == 1 else _STALL_TIMEOUT_S
--- a/libs/arbutusrill_entry/tests/rig.py
+++ b/libs/arbutusrill_entry/tests/rig.py
@@ -1,4 +1,4 @@
-"""An entry VM in this process, with scripted engines and a pool owner that hands them out in order."""
+"""Test rig: an in-process entry VM with scripted engines and stubs for the pool owner and the control group."""
 
 import contextlib
 import json
@@ -20,23 +20,27 @@
 
 
 class ScriptedEngine:
-    """An engine whose faults a test sets: each number says at which token or for how many requests."""
+    """An engine with faults injected by a test.
+
+    An attribute ``*_at`` is the offset of the token at which the fault occurs once. The other numbers are how many
+    requests fail in this way.
+    """
 
     def __init__(self, name):
         self.name = name
         self.seen = []
         self.held = set()
-        self.gap_s = 0.002
-        self.stall_at = self.cut_at = self.repeat_at = self.cross_at = self.die_at = None
-        self.refuse_prefills = self.expired = self.cross_prefills = self.deaf_cancels = 0
-        self.hang_prefill = self.hang_decode = self.forgets = self.dead = False
+        self.token_gap_s = 0.002
+        self.stall_at = self.cut_at = self.repeat_at = self.mismatch_at = self.crash_at = None
+        self.refuse_prefills = self.expired_kv_handles = self.mismatched_prefills = self.failed_cancels = 0
+        self.hang_prefill = self.hang_decode = self.loses_streams = self.crashed = False
         self.closing = threading.Event()
 
     def __call__(self, environ, start):
         request = Request(environ)
         body = json.loads(request.get_data() or b"{}")
         self.seen.append((request.path, body))
-        if self.dead:
+        if self.crashed:
             raise AbortStreamError
         if request.path.startswith("/engine/streams/"):
             return self._resume(request.path.rsplit("/", 1)[1], int(request.args["offset"]), environ, start)
@@ -45,7 +49,7 @@
     def paths(self, path):
         return [body for seen, body in self.seen if seen == path]
 
-    def _take(self, name):
+    def _consume_fault(self, name):
         left = getattr(self, name)
         setattr(self, name, max(0, left - 1))
         return left > 0
@@ -55,33 +59,33 @@
         self.held.add(request_id)
         self._wait(lambda: self.hang_prefill and request_id in self.held)
         self.held.discard(request_id)
-        if self._take("refuse_prefills"):
+        if self._consume_fault("refuse_prefills"):
             return json_response({"error": "full"}, 503)(environ, start)
         answer = {"request_id": request_id, "kv_handle": "kv", "prompt_tokens": 3, "cached_tokens": 0}
-        if self._take("cross_prefills"):
+        if self._consume_fault("mismatched_prefills"):
             answer["request_id"] = "req-of-another"
         return json_response(answer)(environ, start)
 
     def _decode(self, body, environ, start):
-        if self._take("expired"):
+        if self._consume_fault("expired_kv_handles"):
             return json_response({"error": "expired kv_handle"}, 410)(environ, start)
         self.held.add(body["request_id"])
         self._wait(lambda: self.hang_decode and body["request_id"] in self.held)
         return self._send(body["request_id"], body.get("offset", 0), start)
 
     def _resume(self, request_id, offset, environ, start):
-        if self.forgets or request_id not in self.held:
+        if self.loses_streams or request_id not in self.held:
             return json_response({"error": "unknown"}, 404)(environ, start)
         return self._send(request_id, offset, start)
 
     def _send(self, request_id, first, start):
         write = start("200 OK", [("Content-Type", "text/event-stream")])
         for offset in range(first, len(WORDS)):
-            time.sleep(self.gap_s)
+            time.sleep(self.token_gap_s)
             if request_id not in self.held:
                 raise AbortStreamError
-            if offset == self.die_at:
-                self.dead = True
+            if offset == self.crash_at:
+                self.crashed = True
                 raise AbortStreamError
             if offset == self.cut_at:
                 self.cut_at = None
@@ -92,8 +96,8 @@
             number, name = offset, request_id
             if offset == self.repeat_at:
                 self.repeat_at, number = None, offset - 1
-            if offset == self.cross_at:
-                self.cross_at, name = None, "req-of-another"
+            if offset == self.mismatch_at:
+                self.mismatch_at, name = None, "req-of-another"
             event = {"request_id": name, "offset": number, "token": WORDS[number]}
             write(b"data: " + json.dumps(event).encode() + b"\n\n")
         self.held.discard(request_id)
@@ -101,7 +105,7 @@
         return [b"\n\n"]
 
     def _cancel(self, body, environ, start):
-        if self._take("deaf_cancels"):
+        if self._consume_fault("failed_cancels"):
             return json_response({"error": "busy"}, 500)(environ, start)
         self.held.discard(body["request_id"])
         return json_response({"request_id": body["request_id"], "state": "cancelled"})(environ, start)
@@ -113,6 +117,8 @@
 
 
 class StubFollower:
+    """A follower whose configuration and freshness a test sets."""
+
     def __init__(self):
         self.config = ConfigState()
         self.identity = VmIdentity("entry1", 7, "127.0.0.1:1", "127.0.0.1:2", "dc1")
@@ -126,15 +132,15 @@
 
 
 class StubPools:
-    """Hands out the first server that is not avoided; records every message."""
+    """A pool owner that assigns the first server that is not avoided, and records every message."""
 
     def __init__(self, config):
         self.config = config
         self.servers = []
         self.calls = []
         self.owner = "owner1"
-        self.reply = None
-        self.failing = set()
+        self.acquire_reply = None
+        self.refused_calls = set()
 
     def find_pool(self, pool):
         return self.config.pools_by_name.get(pool)
@@ -147,12 +153,12 @@
 
     def call_vm(self, owner, name, message, timeout):
         self.calls.append((owner, name, message))
-        if name in self.failing:
+        if name in self.refused_calls:
             raise messages.Refused("not_owner", "try another")
         if name != "acquire":
             return None
-        if self.reply is not None:
-            return self.reply
+        if self.acquire_reply is not None:
+            return self.acquire_reply
         free = [server for server in self.servers if server[0] not in message.avoid]
         if not free:
             return messages.AcquireReply("refused", None, "no_capacity", "no server is left", 1500)
@@ -162,19 +168,21 @@
     def announce(self, announcement):
         self.calls.append((self.owner, "announce", announcement))
 
-    def named(self, name):
+    def messages_named(self, name):
         return [message for _, called, message in self.calls if called == name]
 
 
 class StubControl:
+    """A control group that gives the scripted `answers` in order, then accepts every call."""
+
     def __init__(self):
         self.calls = []
         self.answers = []
 
-    def call(self, name, made, timeout, try_timeout=1.5):
-        self.calls.append((name, made))
-        usual = messages.Outcome(True, 0) if name == "finish_call" else messages.BeginAnswer("started", 1)
-        answer = self.answers.pop(0) if self.answers else usual
+    def call(self, name, message, timeout, try_timeout=1.5):
+        self.calls.append((name, message))
+        default_answer = messages.Outcome(True, 0) if name == "finish_call" else messages.BeginAnswer("started", 1)
+        answer = self.answers.pop(0) if self.answers else default_answer
         if isinstance(answer, Exception):
             raise answer
         return answer
@@ -186,6 +194,8 @@
 
 
 class Rig:
+    """An entry VM that serves the model ``m`` and the service ``seats``, with helpers that send requests to it."""
+
     def __init__(self, stack):
         self.stack = stack
         self.follower = StubFollower()
@@ -232,7 +242,7 @@
         self.pools.servers.append((name, f"http://{server.address}"))
 
     def send(self, method, path, body=b"", headers=(), key=KEY):
-        """Sends a request and returns the connection, so that a test can leave at any moment."""
+        """Sends a request and returns the connection, so that a test can disconnect at any time."""
         host, port = self.address.split(":")
         connection = socket.create_connection((host, int(port)), timeout=20)
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
@@ -242,7 +252,7 @@
         return connection
 
     def call(self, *args, **options):
-        """Returns status, headers by lower-case name, body, and whether the body is whole."""
+        """Returns status, headers by lower-case name, body, and whether the body is complete."""
         with self.send(*args, **options) as connection, connection.makefile("rb") as stream:
             return read_response(stream)
 
--- a/libs/arbutusrill_entry/tests/test_parse.py
+++ b/libs/arbutusrill_entry/tests/test_parse.py
@@ -1,4 +1,4 @@
-"""Guards against wrong requests that are served, or refused without naming what is wrong."""
+"""Guards against invalid requests that are served, or refused without naming the invalid field."""
 
 import json
 
--- a/libs/arbutusrill_entry/tests/test_relay.py
+++ b/libs/arbutusrill_entry/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Guards against lost, repeated or foreign tokens, and against work for callers who have left."""
+"""Guards against lost, repeated or mismatched tokens, and against work for callers that have disconnected."""
 
 import json
 import time
@@ -8,7 +8,7 @@
 
 from .rig import KEY, WORDS, entry_rig, events_of, eventually, text_of
 
-WHOLE = "".join(WORDS)
+FULL_TEXT = "".join(WORDS)
 
 
 @pytest.fixture
@@ -20,27 +20,27 @@
 def assert_complete(answer):
     status, _, body, whole = answer
     assert (status, whole, events_of(body)[-1]) == (200, True, "[DONE]"), body
-    assert text_of(body) == WHOLE
+    assert text_of(body) == FULL_TEXT
 
 
-def assert_cut(answer, code):
+def assert_aborted(answer, code):
     _, _, body, whole = answer
     assert not whole, "the body must not look complete"
     error = json.loads(events_of(body)[-1])["error"]
     assert (error["code"], error["verdict"]) == (code, "may_have_run")
 
 
-def test_stream_is_complete_and_its_place_is_given_back(rig):
+def test_stream_is_complete_and_its_ticket_is_released(rig):
     rig.engine()
     assert_complete(rig.chat(stream=True))
-    release = rig.pools.named("release")[0]
+    release = rig.pools.messages_named("release")[0]
     assert (release.outcome, release.tokens) == ("done", len(WORDS))
     assert release.first_token_s > 0
     assert len(rig.held) == 0
 
 
 @pytest.mark.parametrize("fault", ["stall_at", "cut_at", "repeat_at"])
-def test_stream_continues_at_its_offset_after_a(rig, fault):
+def test_stream_resumes_at_its_offset_after_a_fault(rig, fault):
     engine = rig.engine()
     setattr(engine, fault, 5)
     assert_complete(rig.chat(stream=True))
@@ -48,33 +48,33 @@
     assert len(engine.paths("/engine/prefill")) == 1
 
 
-def test_whole_answer_survives_a_cut_stream(rig):
+def test_unstreamed_response_survives_an_interrupted_stream(rig):
     rig.engine().cut_at = 5
     _, _, body, _ = rig.chat()
-    assert json.loads(body)["choices"][0]["message"]["content"] == WHOLE
+    assert json.loads(body)["choices"][0]["message"]["content"] == FULL_TEXT
 
 
-def test_lost_runner_is_replaced_with_the_output_so_far(rig):
+def test_failed_engine_is_replaced_and_the_output_so_far_is_kept(rig):
     first, second = rig.engine("e1"), rig.engine("e2")
     rig.pools.servers.reverse()  # prefill at e2, decode at e1
-    first.die_at = 5
+    first.crash_at = 5
     assert_complete(rig.chat(stream=True))
     prefills = second.paths("/engine/prefill")
     assert prefills[-1]["prompt"].endswith("".join(WORDS[:5]))
     decode = second.paths("/engine/decode")[-1]
     assert (decode["offset"], decode["max_tokens"]) == (5, len(WORDS) - 5)
-    assert rig.pools.named("acquire")[-1].avoid == ["e1"]
-    assert prefills[-1]["request_id"] != prefills[0]["request_id"], "a late cancel must not end the new attempt"
+    assert rig.pools.messages_named("acquire")[-1].avoid == ["e1"]
+    assert prefills[-1]["request_id"] != prefills[0]["request_id"], "a late cancellation must not end the new attempt"
 
 
-def test_failed_prefill_is_repeated_elsewhere(rig):
+def test_failed_prefill_is_retried_on_another_server(rig):
     rig.engine("e1").refuse_prefills = 9
     rig.engine("e2")
     assert_complete(rig.chat(stream=True))
 
 
 def test_answer_to_another_prefill_is_not_used(rig):
-    rig.engine("e1").cross_prefills = 9
+    rig.engine("e1").mismatched_prefills = 9
     second = rig.engine("e2")
     assert_complete(rig.chat(stream=True))
     assert len(second.paths("/engine/prefill")) == 1
@@ -82,24 +82,24 @@
 
 def test_token_of_another_request_is_never_delivered(rig):
     engine = rig.engine("e1")
-    engine.cross_at = 5
+    engine.mismatch_at = 5
     answer = rig.chat(stream=True)
     assert text_of(answer[2]) == "".join(WORDS[:5])
-    assert_cut(answer, "no_capacity")
+    assert_aborted(answer, "no_capacity")
     eventually(lambda: not engine.held)
 
 
-def test_expired_kv_cache_costs_one_more_prefill_at_the_same_place(rig):
+def test_expired_kv_cache_costs_one_more_prefill_on_the_same_servers(rig):
     engine = rig.engine()
-    engine.expired = 1
+    engine.expired_kv_handles = 1
     assert_complete(rig.chat(stream=True))
     assert len(engine.paths("/engine/prefill")) == 2
-    assert len(rig.pools.named("acquire")) == 1
+    assert len(rig.pools.messages_named("acquire")) == 1
 
 
-def test_engine_that_forgot_the_stream_gets_one_more_prefill(rig):
+def test_lost_stream_costs_one_more_prefill(rig):
     engine = rig.engine()
-    engine.cut_at, engine.forgets = 5, True
+    engine.cut_at, engine.loses_streams = 5, True
     assert_complete(rig.chat(stream=True))
     assert len(engine.paths("/engine/prefill")) == 2
 
@@ -107,47 +107,49 @@
 def test_no_retry_without_budget(rig):
     while rig.retry_budget.take():
         pass
-    rig.engine().die_at = 5
-    assert_cut(rig.chat(stream=True), "decode_failed")
-    eventually(lambda: rig.pools.named("release"))
-    release = rig.pools.named("release")[0]
-    assert (release.outcome, release.failed_server) == ("decode_failed", "e1"), "the owner learns who failed"
-    assert len(rig.pools.named("acquire")) == 1
+    rig.engine().crash_at = 5
+    assert_aborted(rig.chat(stream=True), "decode_failed")
+    eventually(lambda: rig.pools.messages_named("release"))
+    release = rig.pools.messages_named("release")[0]
+    assert (release.outcome, release.failed_server) == ("decode_failed", "e1"), (
+        "the failed server must be reported to the owner"
+    )
+    assert len(rig.pools.messages_named("acquire")) == 1
 
 
 def test_no_retry_after_the_callers_deadline(rig):
     engine = rig.engine()
     engine.refuse_prefills = 9
-    engine.gap_s = 0.01
+    engine.token_gap_s = 0.01
     status, headers, body, _ = rig.chat(["X-Deadline-Ms: 150"], stream=True)
     assert status == 503
     assert json.loads(body)["error"]["verdict"] == "may_have_run"
 
 
-def test_refused_place_says_not_run_with_retry_after(rig):
+def test_refused_request_has_verdict_not_run_and_retry_after(rig):
     rig.engine()
-    rig.pools.reply = messages.AcquireReply("refused", None, "overloaded", "too late", 2500)
+    rig.pools.acquire_reply = messages.AcquireReply("refused", None, "overloaded", "too late", 2500)
     status, headers, body, _ = rig.chat()
     assert (status, headers["retry-after"], json.loads(body)["error"]["verdict"]) == (503, "3", "not_run")
 
 
-def test_caller_who_leaves_the_queue_gives_the_ticket_back(rig):
-    rig.pools.reply = messages.AcquireReply("pending")
+def test_ticket_is_released_when_a_queued_caller_disconnects(rig):
+    rig.pools.acquire_reply = messages.AcquireReply("pending")
     connection = rig.start_chat()
-    eventually(lambda: rig.pools.named("acquire"))
+    eventually(lambda: rig.pools.messages_named("acquire"))
     connection.close()
-    eventually(lambda: rig.pools.named("release"), 2)
-    assert rig.pools.named("release")[0].outcome == "gone"
+    eventually(lambda: rig.pools.messages_named("release"), 2)
+    assert rig.pools.messages_named("release")[0].outcome == "gone"
 
 
 @pytest.mark.parametrize("stage", ["hang_prefill", "hang_decode", "stream", "idle"])
-def test_caller_who_leaves_frees_the_engine(rig, stage):
+def test_engine_is_freed_when_the_caller_disconnects(rig, stage):
     engine = rig.engine()
-    engine.deaf_cancels = 2
+    engine.failed_cancels = 2
     if stage.startswith("hang"):
         setattr(engine, stage, True)
     elif stage == "stream":
-        engine.gap_s = 0.2
+        engine.token_gap_s = 0.2
     else:
         engine.stall_at = 3
     connection = rig.start_chat(stream=True)
@@ -155,32 +157,32 @@
     if stage in ("stream", "idle"):
         connection.recv(1)
     connection.close()
-    left_at = time.monotonic()
-    eventually(lambda: rig.pools.named("release") and not engine.held and len(rig.held) == 0)
-    assert time.monotonic() - left_at < 2
+    disconnected_at = time.monotonic()
+    eventually(lambda: rig.pools.messages_named("release") and not engine.held and len(rig.held) == 0)
+    assert time.monotonic() - disconnected_at < 2
     assert len(engine.paths("/engine/cancel")) >= 3
 
 
-def test_place_is_given_back_although_its_engine_is_dead(rig):
+def test_ticket_is_released_without_an_acknowledged_cancellation(rig):
     engine = rig.engine()
-    engine.deaf_cancels, engine.hang_decode = 10_000, True
+    engine.failed_cancels, engine.hang_decode = 10_000, True
     connection = rig.start_chat(stream=True)
     eventually(lambda: engine.held)
     connection.close()
-    left_at = time.monotonic()
-    eventually(lambda: rig.pools.named("release"))
-    assert 1 < time.monotonic() - left_at < 2.5
-    engine.deaf_cancels = 0
+    disconnected_at = time.monotonic()
+    eventually(lambda: rig.pools.messages_named("release"))
+    assert 1 < time.monotonic() - disconnected_at < 2.5
+    engine.failed_cancels = 0
     eventually(lambda: not engine.held)
 
 
-def test_release_is_repeated_until_the_owner_takes_it(rig):
+def test_release_is_retried_until_the_owner_accepts_it(rig):
     rig.engine()
-    rig.pools.failing.add("release")
+    rig.pools.refused_calls.add("release")
     assert_complete(rig.chat(stream=True))
-    rig.pools.failing.clear()
-    failed = len(rig.pools.named("release"))
-    eventually(lambda: len(rig.pools.named("release")) > failed)
+    rig.pools.refused_calls.clear()
+    failed = len(rig.pools.messages_named("release"))
+    eventually(lambda: len(rig.pools.messages_named("release")) > failed)
 
 
 def test_held_tickets_are_renewed_also_at_a_new_owner(rig):
@@ -190,7 +192,7 @@
         eventually(lambda: any(owner == "owner1" for owner, name, _ in rig.pools.calls if name == "renew"))
         rig.pools.owner = "owner2"
         eventually(lambda: any(owner == "owner2" for owner, name, _ in rig.pools.calls if name == "renew"))
-        held = rig.pools.named("renew")[-1].tickets[0]
+        held = rig.pools.messages_named("renew")[-1].tickets[0]
         assert (held.pool, held.workspace, held.stage, held.assignment.decode_server) == (
             "m",
             "dispatch",
@@ -203,7 +205,7 @@
 @pytest.mark.parametrize("change", ["key", "workspace", "stale"])
 def test_running_stream_of_a_refused_key_ends_within_5_s(rig, change):
     engine = rig.engine()
-    engine.gap_s = 0.9
+    engine.token_gap_s = 0.9
     with rig.start_chat(stream=True) as connection, connection.makefile("rb") as stream:
         assert stream.readline().startswith(b"HTTP/1.1 200")
         changed_at = time.monotonic()
--- a/libs/arbutusrill_entry/tests/test_services.py
+++ b/libs/arbutusrill_entry/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Guards against calls that run twice, verdicts that are false, and keys that reach backend servers."""
+"""Guards against calls that run twice, wrong verdicts, and keys that are forwarded to backend servers."""
 
 import base64
 import json
@@ -18,7 +18,7 @@
 
 
 class Service:
-    """A plain service that keeps what it receives."""
+    """A plain service that records the requests it receives."""
 
     def __init__(self):
         self.seen = []
@@ -35,10 +35,10 @@
 
 
 class RawServer:
-    """Accepts connections, reads up to `reads` bytes of each and closes it without an answer."""
+    """Accepts connections, reads up to `max_read_bytes` bytes of each and closes it without an answer."""
 
-    def __init__(self, reads):
-        self.reads = reads
+    def __init__(self, max_read_bytes):
+        self.max_read_bytes = max_read_bytes
         self.connections = 0
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = "http://{}:{}".format(*self.listener.getsockname())
@@ -52,7 +52,7 @@
             except OSError:
                 return
             self.connections += 1
-            connection.recv(self.reads)
+            connection.recv(self.max_read_bytes)
             connection.close()
 
 
@@ -85,9 +85,9 @@
         rig.pools.servers.insert(0, ("refusing", f"http://127.0.0.1:{probe.getsockname()[1]}"))
 
 
-def finishes(rig):
+def recorded_finishes(rig):
     eventually(lambda: any(name == "finish_call" for name, _ in rig.control.calls))
-    return [made.journal_finish for name, made in rig.control.calls if name == "finish_call"]
+    return [message.journal_finish for name, message in rig.control.calls if name == "finish_call"]
 
 
 def error_of(answer):
@@ -119,7 +119,7 @@
     assert not {"Authorization", "Cookie", "X-Old"} & set(seen)
 
 
-def test_key_on_an_open_route_is_not_passed_on(rig, service):
+def test_key_on_an_open_route_is_not_forwarded(rig, service):
     assert rig.call("GET", "/services/seats/open", headers=["X-Workspace: forged"])[0] == 201
     assert KEY not in json.dumps(service.seen[0][2]) and "X-Workspace" not in service.seen[0][2]
 
@@ -147,13 +147,13 @@
 @pytest.mark.parametrize(
     "path", ["/a/../bookings", "/%2e%2e/bookings", "/.%252e/x", "/a#/bookings", "/a\\b", "//bookings"]
 )
-def test_path_that_servers_read_differently_is_refused(rig, service, path):
+def test_path_that_servers_may_normalize_differently_is_refused(rig, service, path):
     assert rig.call("POST", f"/services/seats{path}")[0] in (400, 404)
     assert not service.seen
 
 
 @pytest.mark.parametrize("path", ["/%62ookings", "/%2562ookings"])
-def test_encoded_path_still_meets_its_route(rig, dropping, path):
+def test_encoded_path_matches_its_route(rig, dropping, path):
     rig.follower.apply(messages.PutService("seats", [messages.Route("*", "/bookings", False, False)]))
     answer = rig.call("GET", f"/services/seats{path}")
     assert error_of(answer)["verdict"] == "may_have_run"
@@ -171,9 +171,9 @@
     assert "set-cookie" not in headers and "x-internal" not in headers
 
 
-def test_repeatable_call_is_repeated_elsewhere(rig, service, dropping):
+def test_repeatable_call_is_retried_on_another_server(rig, service, dropping):
     assert rig.call("GET", "/services/seats/stops")[0] == 201
-    assert rig.pools.named("acquire")[-1].avoid == ["dropping"]
+    assert rig.pools.messages_named("acquire")[-1].avoid == ["dropping"]
 
 
 def test_repeatable_call_without_budget_says_may_have_run(rig, service, dropping):
@@ -190,20 +190,20 @@
     assert len(service.seen) == 1
 
 
-def test_call_that_no_server_took_may_be_sent_again(rig):
+def test_call_that_was_never_sent_is_recorded_as_not_run(rig):
     refuse_connections(rig)
     answer = rig.call("POST", BOOK, b"{}", IDEMPOTENT)
     assert error_of(answer)["verdict"] == "not_run"
-    assert finishes(rig)[0].status == "not_run"
+    assert recorded_finishes(rig)[0].status == "not_run"
 
 
-@pytest.mark.parametrize("reads", [1, 65_536])
-def test_sent_call_may_have_run_and_is_never_sent_again(rig, service, reads):
-    server = RawServer(reads)
+@pytest.mark.parametrize("max_read_bytes", [1, 65_536])
+def test_sent_call_may_have_run_and_is_never_sent_again(rig, service, max_read_bytes):
+    server = RawServer(max_read_bytes)
     rig.pools.servers.insert(0, ("dropping", server.address))
     answer = rig.call("POST", BOOK, b"{}", IDEMPOTENT)
     assert (answer[0], error_of(answer)["verdict"]) == (502, "may_have_run")
-    assert finishes(rig)[0].status == "unknown"
+    assert recorded_finishes(rig)[0].status == "unknown"
     assert (server.connections, len(service.seen)) == (1, 0)
     server.listener.close()
 
@@ -211,53 +211,55 @@
 def test_call_without_idempotency_key_is_sent_once(rig, service, dropping):
     assert error_of(rig.call("POST", BOOK, b"{}"))["verdict"] == "may_have_run"
     assert (dropping.connections, len(service.seen), rig.control.calls) == (1, 0, [])
-    eventually(lambda: rig.pools.named("release"))
-    release = rig.pools.named("release")[0]
-    assert (release.outcome, release.failed_server) == ("decode_failed", "dropping"), "the owner learns who failed"
+    eventually(lambda: rig.pools.messages_named("release"))
+    release = rig.pools.messages_named("release")[0]
+    assert (release.outcome, release.failed_server) == ("decode_failed", "dropping"), (
+        "the failed server must be reported to the owner"
+    )
 
 
-@pytest.mark.parametrize("fails", [MemoryError("no memory"), RuntimeError("bug")])
-def test_exception_after_the_send_leaves_no_false_verdict(rig, service, monkeypatch, fails):
+@pytest.mark.parametrize("error", [MemoryError("no memory"), RuntimeError("bug")])
+def test_exception_after_the_send_leaves_no_false_verdict(rig, service, monkeypatch, error):
     def broken(*_):
-        raise fails
+        raise error
 
     monkeypatch.setattr("arbutusrill_entry._answer.Answer.on_data", broken)
     answer = rig.call("POST", BOOK, b"{}", IDEMPOTENT)
     assert (answer[0], error_of(answer)["verdict"]) == (500, "may_have_run")
-    assert finishes(rig)[0].status == "unknown"
+    assert recorded_finishes(rig)[0].status == "unknown"
 
 
-def test_journal_that_does_not_answer_means_nothing_is_sent(rig, service):
+def test_nothing_is_sent_if_the_journal_does_not_answer(rig, service):
     rig.control.answers = [ControlUnavailableError("lost", sent=True)]
     answer = rig.call("POST", BOOK, b"{}", IDEMPOTENT)
     assert (answer[0], error_of(answer)["verdict"]) == (503, "not_run")
-    assert finishes(rig)[0].status == "not_run"
+    assert recorded_finishes(rig)[0].status == "not_run"
     assert not service.seen
 
 
-def test_outcome_is_recorded_later_when_the_journal_is_away(rig, service):
+def test_outcome_is_recorded_later_if_the_journal_is_unavailable(rig, service):
     rig.control.answers = [messages.BeginAnswer("started", 1), ControlUnavailableError("lost", sent=True)]
     assert rig.call("POST", BOOK, b"{}", IDEMPOTENT)[0] == 201
-    eventually(lambda: len(finishes(rig)) == 2)
-    assert finishes(rig)[0] == finishes(rig)[1]
+    eventually(lambda: len(recorded_finishes(rig)) == 2)
+    assert recorded_finishes(rig)[0] == recorded_finishes(rig)[1]
 
 
-def test_recorded_headers_are_few(rig, service):
+def test_only_selected_headers_are_recorded(rig, service):
     rig.call("POST", BOOK, b"{}", IDEMPOTENT)
-    finish = finishes(rig)[0]
+    finish = recorded_finishes(rig)[0]
     assert (finish.status, finish.http_status, finish.body) == ("done", 201, b"{}")
     assert {name for name, _ in json.loads(finish.headers_json)} <= {"content-type", "content-encoding", "etag"}
 
 
-def test_large_answer_is_passed_on_whole_and_recorded_as_ran(rig, service):
+def test_large_answer_is_forwarded_whole_and_recorded_as_ran(rig, service):
     service.body = b"x" * 3_000_000
     status, _, body, whole = rig.call("POST", BOOK, b"{}", IDEMPOTENT)
     assert (status, len(body), whole) == (201, 3_000_000, True)
-    assert (finishes(rig)[0].status, finishes(rig)[0].body or b"") == ("ran", b"")
+    assert (recorded_finishes(rig)[0].status, recorded_finishes(rig)[0].body or b"") == ("ran", b"")
 
 
 @pytest.mark.parametrize("change", ["caller", "key", "stale"])
-def test_sent_call_is_never_cut(rig, service, change):
+def test_sent_call_is_never_aborted(rig, service, change):
     service.wait.clear()
     connection = rig.send("POST", BOOK, b"{}", IDEMPOTENT)
     eventually(lambda: service.seen)
@@ -270,7 +272,7 @@
     time.sleep(0.8)
     assert not [name for name, _ in rig.control.calls if name == "finish_call"]
     service.wait.set()
-    assert finishes(rig)[0].status == "done"
+    assert recorded_finishes(rig)[0].status == "done"
 
 
 def test_repeatable_call_of_a_withdrawn_key_ends(rig, service):
@@ -285,12 +287,12 @@
     service.wait.set()
 
 
-def test_caller_who_leaves_the_queue_leaves_no_unknown_outcome(rig):
-    rig.pools.reply = messages.AcquireReply("pending")
+def test_queued_call_of_a_disconnected_caller_is_recorded_as_not_run(rig):
+    rig.pools.acquire_reply = messages.AcquireReply("pending")
     connection = rig.send("POST", BOOK, b"{}", IDEMPOTENT)
-    eventually(lambda: rig.pools.named("acquire"))
+    eventually(lambda: rig.pools.messages_named("acquire"))
     connection.close()
-    assert finishes(rig)[0].status == "not_run"
+    assert recorded_finishes(rig)[0].status == "not_run"
 
 
 @pytest.mark.parametrize(
