--- a/libs/arbutusrill_entry/_announcements.py
+++ b/libs/arbutusrill_entry/_announcements.py
@@ -12,7 +12,7 @@
 
 from ._parse import bad_request, json_object
 
-__all__ = ["parse_announcement", "parse_cache_events", "check_announce_token"]
+__all__ = ["check_announce_token", "parse_announcement", "parse_cache_events"]
 
 _ROLES = ("prefill", "decode", "both", "plain")
 _STATES = ("ready", "draining", "leaving")
--- a/libs/arbutusrill_entry/_drain.py
+++ b/libs/arbutusrill_entry/_drain.py
@@ -64,7 +64,7 @@
     def _wait(self, condition: Callable[[], bool], deadline: float) -> bool:
         """Waits for `condition()`, `deadline` or `skip_waits`; returns whether the condition holds."""
         while not condition():
-            remaining = deadline - time.monotonic()
-            if remaining <= 0 or self._skip_waits.wait(min(_POLL_INTERVAL_S, remaining)):
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0 or self._skip_waits.wait(min(_POLL_INTERVAL_S, remaining_s)):
                 return condition()
         return True
--- a/libs/arbutusrill_entry/_services.py
+++ b/libs/arbutusrill_entry/_services.py
@@ -35,7 +35,7 @@
         self._context = context
 
     def serve(self, request: Request, start_response: Callable, name: str, call: Call) -> Iterable[bytes]:
-        """Serves one call; raises `FailureError` if no server answers it."""
+        """Serves one call; raises `FailureError` if it is rejected or no server answers it."""
         follower = self._context.follower
         path = raw_path(request)
         route = match_route(follower.config, name, request.method, path)
