--- a/libs/arbutusrill_bench/__init__.py
+++ b/libs/arbutusrill_bench/__init__.py
@@ -1,4 +1,4 @@
-"""Local sites, load and reports."""
+"""Local test sites, load generation, benchmarks and randomised fault-injection tests."""
 
 from ._site import LocalSite, Member, SiteError, free_address
 
--- a/libs/arbutusrill_bench/_measures.py
+++ b/libs/arbutusrill_bench/_measures.py
@@ -1,4 +1,4 @@
-"""Measures of one run, worked out from its plan, its outcomes and the engines' counters."""
+"""Computes the measures of one run from its plan and the outcomes of its requests."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from hdrh.histogram import HdrHistogram
 
 from ._load import Outcome
-from ._workload import Planned, Span, Workload
+from ._workload import PlannedRequest, Span, Workload
 
 __all__ = ["Measures", "Targets", "excess_tokens", "inside_rate", "measure", "quantiles_ms"]
 
 _QUANTILES = (50.0, 90.0, 95.0, 99.0)
-_CAPACITY_STATUS = (429, 503)
+_OVERLOAD_STATUSES = (429, 503)
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Measures:
-    """Figures of one run. Shares are parts of 1; `category_counts` sums to `offered`."""
+    """Figures of one run. Shares are fractions between 0 and 1; the values of `category_counts` sum to `offered`."""
 
     offered: int = 0
     good: int = 0
@@ -54,12 +54,12 @@
     sent_late_p99_ms: float = 0.0
 
 
-def category(request: Planned, outcome: Outcome | None, targets: Targets) -> str:
-    """Returns what became of a completion, from the caller's point of view.
+def category(request: PlannedRequest, outcome: Outcome | None, targets: Targets) -> str:
+    """Classifies the outcome of a completion from the caller's point of view.
 
-    A class with a deadline is good when it is whole in time; the others when the first token and the mean gap
-    between tokens meet the targets. The gap of a request is its mean, so that one late token among many is
-    judged by the time that the whole answer took.
+    A request with a deadline is ``late`` when it is not complete in time, any other when its first token misses the
+    target. Both are ``slow`` when the mean gap between tokens exceeds the target; the mean is used so that a single
+    late token counts only by how much it delays the whole response.
     """
     if outcome is None:
         return "no_outcome"
@@ -67,7 +67,7 @@
         return "wrong_answer"
     if outcome.left:
         return "left"
-    if outcome.status in _CAPACITY_STATUS and outcome.tokens == 0 and not outcome.whole:
+    if outcome.status in _OVERLOAD_STATUSES and outcome.tokens == 0 and not outcome.whole:
         return "refused"
     if not outcome.whole:
         return "broken"
@@ -81,8 +81,8 @@
     return "good"
 
 
-def inside_rate(requests: list[Planned], load: Workload) -> set[int]:
-    """Returns the numbers of the completions that an ideal token bucket of each workspace would admit."""
+def inside_rate(requests: list[PlannedRequest], load: Workload) -> set[int]:
+    """Returns the numbers of the completions that an ideal token bucket for each workspace would admit."""
     inside: set[int] = set()
     for workspace in load.workspaces:
         rate, burst = load.limit(workspace)
@@ -99,10 +99,11 @@
 
 
 def excess_tokens(admitted: list[tuple[float, float, int]], rate: float, burst: float) -> float:
-    """Returns by how many tokens a workspace provably got more than its rate and burst in any window, or 0.
+    """Returns the largest number of tokens by which a workspace provably exceeded its rate and burst in a window.
 
-    Each request is given as when it was sent, when its first token came, and its charge. Its admission lies
-    between the two moments, so a window counts the requests that were sent and answered inside it.
+    Each request is given by the times at which it was sent and its first token arrived, and its charge. It was
+    admitted between the two times, so a window counts only requests sent and answered inside it. Returns 0 when no
+    window exceeds the limit.
 
     >>> excess_tokens([(0.0, 0.1, 500), (0.2, 0.4, 800)], rate=100, burst=1000)
     260.0
@@ -119,7 +120,7 @@
 
 
 def quantiles_ms(values_ms: list[float]) -> dict[str, float]:
-    """Returns quantiles in milliseconds by a histogram of 3 significant digits, empty without values."""
+    """Returns quantiles from a histogram with 3 significant digits; an empty dictionary without values."""
     if not values_ms:
         return {}
     histogram = HdrHistogram(1, 600_000_000, 3)
@@ -130,15 +131,15 @@
 
 def measure(
     load: Workload,
-    requests: list[Planned],
+    requests: list[PlannedRequest],
     outcome_by_number: dict[int, Outcome],
     targets: Targets,
     span: Span,
 ) -> Measures:
-    """Works out the measures of the requests that were planned in the measured time."""
+    """Computes the measures of the requests planned in the measurement phase."""
     result = Measures()
     inside = inside_rate(requests, load)
-    completions = [row for row in requests if row.kind == "completion" and span.measures(row.at)]
+    completions = [row for row in requests if row.kind == "completion" and span.is_measured(row.at)]
     category_by_number = {row.number: category(row, outcome_by_number.get(row.number), targets) for row in completions}
     outcomes = [outcome_by_number[number] for number in category_by_number if number in outcome_by_number]
     result.offered = len(completions)
@@ -153,9 +154,9 @@
     result.first_token_ms = quantiles_ms([row.first_s * 1000 for row in outcomes if row.first_s >= 0])
     result.token_gap_ms = quantiles_ms([gap for row in outcomes for gap in row.gaps_ms])
     result.sent_late_p99_ms = quantiles_ms([row.late_s * 1000 for row in outcomes]).get("p99", 0.0)
-    _by_workspace(result, load, completions, category_by_number, inside)
-    _refusals(result, completions, category_by_number, outcome_by_number, inside)
-    _plain(result, [row for row in requests if span.measures(row.at)], outcome_by_number)
+    _set_workspace_shares(result, load, completions, category_by_number, inside)
+    _count_refusals(result, completions, category_by_number, outcome_by_number, inside)
+    _measure_plain_calls(result, [row for row in requests if span.is_measured(row.at)], outcome_by_number)
     for workspace in load.workspaces:
         admitted = [
             (row.at, row.at + outcome_by_number[row.number].first_s, row.charge)
@@ -169,10 +170,14 @@
     return result
 
 
-def _by_workspace(
-    result: Measures, load: Workload, completions: list[Planned], category_by_number: dict[int, str], inside: set[int]
+def _set_workspace_shares(
+    result: Measures,
+    load: Workload,
+    completions: list[PlannedRequest],
+    category_by_number: dict[int, str],
+    inside: set[int],
 ) -> None:
-    """Compares the workspaces by the requests inside their rates; callers who left by plan do not count."""
+    """Sets the goodput share of each workspace, over requests within its rate whose caller did not plan to leave."""
     for workspace in load.workspaces:
         mine = [
             row for row in completions if row.workspace == workspace.name and row.number in inside and not row.leave_s
@@ -187,9 +192,9 @@
         result.worst_to_mean = min(shares) / max(1e-9, sum(shares) / len(shares))
 
 
-def _refusals(
+def _count_refusals(
     result: Measures,
-    completions: list[Planned],
+    completions: list[PlannedRequest],
     category_by_number: dict[int, str],
     outcome_by_number: dict[int, Outcome],
     inside: set[int],
@@ -204,7 +209,9 @@
     result.false_rejection_share = result.refused_inside / max(1, result.offered_inside)
 
 
-def _plain(result: Measures, requests: list[Planned], outcome_by_number: dict[int, Outcome]) -> None:
+def _measure_plain_calls(
+    result: Measures, requests: list[PlannedRequest], outcome_by_number: dict[int, Outcome]
+) -> None:
     plain = [outcome_by_number.get(row.number) for row in requests if row.kind != "completion"]
     result.plain_offered = len(plain)
     result.plain_whole = sum(row is not None and row.whole for row in plain)
--- a/libs/arbutusrill_bench/_report.py
+++ b/libs/arbutusrill_bench/_report.py
@@ -1,4 +1,4 @@
-"""Report of a bench: table, JSON and plots."""
+"""Writes benchmark reports as a text table, JSON and plots."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import matplotlib
 
-matplotlib.use("Agg")  # no display is needed to write files
+matplotlib.use("Agg")  # renders to files, without a display
 
 import matplotlib.pyplot as plt
 
@@ -18,12 +18,12 @@
 __all__ = ["Report", "commit_name", "table_lines", "write_report"]
 
 BASELINES = ("round_robin", "least_loaded", "prefill_first")
-OURS = "reserving"
+TESTED_POLICY = "reserving"
 
 
 @dataclass(slots=True)
 class Report:
-    """All runs of one bench and what they have in common."""
+    """All runs of one benchmark and the settings they share."""
 
     commit: str
     seed: int
@@ -34,7 +34,7 @@
 
 
 def commit_name(folder: Path) -> str:
-    """Returns the commit of the working tree, with ``+changes`` when files differ from it."""
+    """Returns the abbreviated commit of the working tree, with ``+changes`` when files differ from it."""
     try:
         name = subprocess.run(
             ["git", "rev-parse", "--short=12", "HEAD"], cwd=folder, capture_output=True, text=True, check=True
@@ -68,26 +68,28 @@
             f"{row.excess_tokens:>6.0f}{row.bookings_repeated:>4}{run.busy_share:>6.0%}{run.load_average:>6.1f}"
             f"{' disturbed' if run.disturbed else ''}"
         )
-    return [*lines, "", *_comparison(report), "", *_breakdown(report)]
+    return [*lines, "", *_comparison_lines(report), "", *_breakdown_lines(report)]
 
 
-def _comparison(report: Report) -> list[str]:
-    """Returns, for each scenario, the goodput of our policy over that of the best baseline."""
+def _comparison_lines(report: Report) -> list[str]:
+    """Returns, for each scenario, the ratio of the goodput of the tested policy to that of the best baseline."""
     lines = []
-    for name in _scenarios(report):
+    for name in _scenario_names(report):
         runs = [run for run in report.runs if run.scenario == name and not run.failed]
         share_by_policy = {run.policy: run.measures.goodput_share for run in runs}
         baselines = {policy: share for policy, share in share_by_policy.items() if policy in BASELINES}
-        if OURS in share_by_policy and baselines:
+        if TESTED_POLICY in share_by_policy and baselines:
             best = max(baselines, key=lambda policy: baselines[policy])
-            ratio = share_by_policy[OURS] / max(1e-9, baselines[best])
-            doubt = "; not valid, the machine was too busy" if any(run.disturbed for run in runs) else ""
-            lines.append(f"{name}: {OURS} has {ratio:.2f} times the goodput of the best baseline, {best}{doubt}")
+            ratio = share_by_policy[TESTED_POLICY] / max(1e-9, baselines[best])
+            caveat = "; not valid, the machine was too busy" if any(run.disturbed for run in runs) else ""
+            lines.append(
+                f"{name}: {TESTED_POLICY} has {ratio:.2f} times the goodput of the best baseline, {best}{caveat}"
+            )
     return lines
 
 
-def _breakdown(report: Report) -> list[str]:
-    """Returns what became of the requests of each class, by which a difference between policies is explained."""
+def _breakdown_lines(report: Report) -> list[str]:
+    """Returns the outcome counts of each latency class, to explain differences between policies."""
     lines = []
     for run in report.runs:
         for name, counts in sorted(run.measures.category_counts_by_class.items()):
@@ -96,12 +98,12 @@
     return lines
 
 
-def _scenarios(report: Report) -> list[str]:
+def _scenario_names(report: Report) -> list[str]:
     return list(dict.fromkeys(run.scenario for run in report.runs))
 
 
 def write_report(report: Report, folder: Path) -> list[Path]:
-    """Writes ``bench.txt``, ``bench.json`` and the plots; returns the files written."""
+    """Writes ``bench.txt``, ``bench.json`` and the plots; returns the paths of the files."""
     folder.mkdir(parents=True, exist_ok=True)
     text, data = folder / "bench.txt", folder / "bench.json"
     text.write_text("\n".join(table_lines(report)) + "\n")
@@ -118,15 +120,15 @@
 
 
 def _plot(report: Report, path: Path, title: str, value: object) -> Path:
-    """Writes a bar chart with a group for each scenario and a bar for each policy."""
-    scenarios = _scenarios(report)
+    """Writes a bar chart with one group for each scenario and one bar for each policy."""
+    scenarios = _scenario_names(report)
     policies = list(dict.fromkeys(run.policy for run in report.runs))
     figure, axes = plt.subplots(figsize=(max(5.0, 1.8 * len(scenarios)), 4.2))
     width = 0.8 / max(1, len(policies))
     for index, policy in enumerate(policies):
         runs = {run.scenario: run for run in report.runs if run.policy == policy and not run.failed}
-        places = [number + index * width for number, name in enumerate(scenarios) if name in runs]
-        axes.bar(places, [value(runs[name].measures) for name in scenarios if name in runs], width, label=policy)
+        positions = [number + index * width for number, name in enumerate(scenarios) if name in runs]
+        axes.bar(positions, [value(runs[name].measures) for name in scenarios if name in runs], width, label=policy)
     axes.set_xticks([number + 0.4 - width / 2 for number in range(len(scenarios))], scenarios, rotation=20)
     axes.set_title(f"{title}\ncommit {report.commit}, seed {report.seed}, time scale {report.time_scale:g}", fontsize=9)
     axes.legend(fontsize=8)
--- a/libs/arbutusrill_bench/_site.py
+++ b/libs/arbutusrill_bench/_site.py
@@ -1,4 +1,4 @@
-"""A small site on loopback addresses, each part in a process of its own."""
+"""Runs a small site on loopback addresses, with each component in a separate process."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 __all__ = ["LocalSite", "Member", "SiteError", "free_address"]
 
-_START_S = 20.0
-_STOP_S = 15.0
-_HURRY_S = 0.3  # a second SIGTERM after this time ends the draining of entry VMs
+_START_TIMEOUT_S = 20.0
+_STOP_TIMEOUT_S = 15.0
+_SECOND_SIGTERM_AFTER_S = 0.3  # the second SIGTERM makes entry VMs stop draining
 
 
 class SiteError(Exception):
-    """The site did not come up or a member ended by itself."""
+    """The site did not reach an expected state in time, or an operation on it failed."""
 
 
 def free_address(host: str) -> str:
-    """Returns `host` with a port that is free at the moment."""
+    """Returns ``host:port`` with a currently unused port; another process may bind the port before the caller."""
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         probe.bind((host, 0))
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """One process of the site with its addresses and, for a daemon, its settings file."""
+    """One process of the site: its command line, addresses and, for a daemon, the contents of its settings file."""
 
     name: str
     command: list[str]
@@ -52,17 +52,17 @@
 
 
 class LocalSite:
-    """Starts control VMs, entry VMs and stand-ins, and ends all of them when the context is left.
+    """Context manager that starts control VMs, entry VMs and stand-ins, and stops all of them on exit.
 
-    `entry_options` are added to the entry section of each entry VM's settings. Entry VM number i listens on
-    127.0.<net>.<i + 20>, control VM number i on 127.0.<net>.<i + 10>.
+    `entry_options` are merged into the ``entry`` section of each entry VM's settings. Entry VM number i listens on
+    127.0.<net>.<i + 20>, control VM number i on 127.0.<net>.<i + 10>, both counted from 0.
     """
 
     def __init__(
         self, controls: int = 3, entries: int = 3, folder: Path | None = None, entry_options: dict | None = None
     ):
-        self._own_folder = tempfile.TemporaryDirectory(prefix="arbutusrill-") if folder is None else None
-        self.folder = folder or Path(self._own_folder.name)
+        self._temporary_folder = tempfile.TemporaryDirectory(prefix="arbutusrill-") if folder is None else None
+        self.folder = folder or Path(self._temporary_folder.name)
         self.operator_token = secrets.token_urlsafe(16)
         self.announce_token = secrets.token_urlsafe(16)
         net = secrets.randbelow(200) + 20
@@ -87,13 +87,13 @@
             }
             self._add_daemon(f"entry{number + 1}", number, rpc, {"entry": role}, role["http"], role["rpc"])
         self.operators = OperatorClient([member.address for member in self.of_kind("control")], self.operator_token)
-        self._standin_host = f"127.0.{net}.100"
+        self._stand_in_host = f"127.0.{net}.100"
 
     def __enter__(self) -> LocalSite:
         try:
             for member in self.members_by_name.values():
                 self.start(member.name)
-            self._wait_ready()
+            self._wait_until_ready()
         except BaseException:
             self.__exit__()
             raise
@@ -103,10 +103,10 @@
         for name in reversed(list(self.members_by_name)):
             self.signal(name, signal.SIGCONT)
             self.signal(name, signal.SIGTERM)
-        time.sleep(_HURRY_S)
+        time.sleep(_SECOND_SIGTERM_AFTER_S)
         for name in self.members_by_name:
             self.signal(name, signal.SIGTERM)
-        deadline = time.monotonic() + _STOP_S
+        deadline = time.monotonic() + _STOP_TIMEOUT_S
         for member in self.members_by_name.values():
             if member.process is not None:
                 try:
@@ -114,8 +114,8 @@
                 except subprocess.TimeoutExpired:
                     member.process.kill()
                     member.process.wait()
-        if self._own_folder is not None:
-            self._own_folder.cleanup()
+        if self._temporary_folder is not None:
+            self._temporary_folder.cleanup()
 
     def _add_daemon(
         self, name: str, number: int, control: list[str], roles: dict[str, Any], address: str, rpc: str
@@ -128,15 +128,15 @@
         self.members_by_name[name] = Member(name, command, address, rpc, settings=settings)
 
     def add_engine(self, name: str, *options: str) -> Member:
-        """Adds and starts an engine stand-in; `options` are those of its command line."""
+        """Adds and starts an engine stand-in; `options` are command-line arguments."""
         return self._add_standin("engine", name, options)
 
     def add_service(self, name: str, *options: str) -> Member:
-        """Adds and starts a plain service stand-in."""
+        """Adds and starts a plain service stand-in; `options` are command-line arguments."""
         return self._add_standin("service", name, options)
 
     def _add_standin(self, kind: str, name: str, options: tuple[str, ...]) -> Member:
-        address = free_address(self._standin_host)
+        address = free_address(self._stand_in_host)
         entries = ",".join(member.address for member in self.of_kind("entry"))
         command = [sys.executable, "-m", f"arbutusrill_standins.{kind}", "--listen", address, "--entries", entries]
         command += ["--announce-token", self.announce_token, "--id", name, *options]
@@ -149,7 +149,7 @@
         return [member for name, member in self.members_by_name.items() if name.startswith(prefix)]
 
     def start(self, name: str) -> None:
-        """Starts a member, again after it has ended; its log is appended to ``<name>.log``."""
+        """Starts a member that is not running; its output is appended to ``<name>.log``."""
         member = self.members_by_name[name]
         with (self.folder / f"{name}.log").open("ab") as log:
             member.process = subprocess.Popen(
@@ -157,31 +157,31 @@
             )
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Sends a signal to a member that still runs."""
+        """Sends a signal to a member; does nothing if the member is not running."""
         process = self.members_by_name[name].process
         if process is not None and process.poll() is None:
             process.send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Ends a member at once, without any clean-up of its own."""
+        """Kills a member with SIGKILL and waits for its exit."""
         self.signal(name, signal.SIGKILL)
         self.members_by_name[name].process.wait()
 
     def kill_all(self) -> None:
-        """Ends all members at once, where a graceful end of the site proves nothing and takes seconds."""
+        """Kills all members with SIGKILL, for callers that do not need the graceful shutdown, which takes seconds."""
         for name in self.members_by_name:
             self.kill(name)
 
     def freeze(self, name: str) -> None:
-        """Cuts a member off silently: it does nothing more while its connections stay open."""
+        """Suspends a member with SIGSTOP: it stops responding while its connections stay open."""
         self.signal(name, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Lets a member that was cut off go on where it was."""
+        """Resumes a suspended member with SIGCONT."""
         self.signal(name, signal.SIGCONT)
 
     def restart(self, name: str, empty: bool = False) -> None:
-        """Starts a member again, killing it first if it runs; `empty` gives it a new, empty data folder."""
+        """Starts a member, killing it first if it is running; `empty` deletes its data folder before the start."""
         member = self.members_by_name[name]
         if member.process is not None and member.process.poll() is None:
             self.kill(name)
@@ -191,27 +191,27 @@
         self.start(name)
 
     def log(self, name: str) -> str:
-        """Returns what a member has logged."""
+        """Returns the contents of a member's log file."""
         return (self.folder / f"{name}.log").read_text(errors="replace")
 
-    def wait_until(self, condition: Any, what: str, timeout: float = _START_S) -> None:
-        """Waits until `condition()` is true; raises `SiteError` naming `what` otherwise."""
+    def wait_until(self, condition: Any, what: str, timeout: float = _START_TIMEOUT_S) -> None:
+        """Waits until `condition()` is true; raises `SiteError` with `what` after `timeout` seconds."""
         deadline = time.monotonic() + timeout
         while not condition():
             if time.monotonic() >= deadline:
-                raise SiteError(f"not within {timeout:g} s: {what}")
+                raise SiteError(f"timed out after {timeout:g} s waiting for: {what}")
             time.sleep(0.05)
 
     def wait_entries_ready(self) -> None:
-        """Waits until every entry VM says that it is ready for callers."""
+        """Waits until ``/readyz`` of every entry VM returns 200."""
         for member in self.of_kind("entry"):
-            self.wait_until(lambda url=f"http://{member.address}/readyz": _ok(url), f"{member.name} is ready")
+            self.wait_until(lambda url=f"http://{member.address}/readyz": _returns_200(url), f"{member.name} is ready")
 
-    def _wait_ready(self) -> None:
+    def _wait_until_ready(self) -> None:
         self.wait_entries_ready()
-        self.wait_until(self._control_answers, "a control VM answers operators")
+        self.wait_until(self._control_is_ready, "a control VM answers operators")
 
-    def _control_answers(self) -> bool:
+    def _control_is_ready(self) -> bool:
         try:
             self.operators.call("GET", "/status")
         except OperatorError:
@@ -219,7 +219,7 @@
         return True
 
     def wait_for_pool(self, name: str) -> None:
-        """Waits until every entry VM knows the owner of a pool."""
+        """Waits until a pool has an owner and every entry VM has applied the revision at which this was observed."""
 
         def known() -> bool:
             status = self.operators.call("GET", "/status")
@@ -229,7 +229,7 @@
         self.wait_until(known, f"every entry VM knows the owner of pool {name}")
 
 
-def _ok(url: str) -> bool:
+def _returns_200(url: str) -> bool:
     result = fetch(Transfer("GET", url, timeout_s=1.0))
     return result.whole and result.status == 200
 
--- a/libs/arbutusrill_bench/_streams_client.py
+++ b/libs/arbutusrill_bench/_streams_client.py
@@ -1,4 +1,4 @@
-"""Client that runs many streams on one thread, for measurements in which it must not be the bottleneck."""
+"""Single-threaded client for many concurrent streams, cheap enough not to be the bottleneck of measurements."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 __all__ = ["StreamClient", "StreamResult", "Target"]
 
-_READ = 262_144
-_TOKEN = b'"offset"'
-_CHUNK = b'"finish_reason": null'
+_MAX_RECV_BYTES = 262_144
+_ENGINE_TOKEN_MARKER = b'"offset"'
+_ENTRY_TOKEN_MARKER = b'"finish_reason": null'
 
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """Where streams go: an entry VM with a key, or directly to a prefill and a decode engine."""
+    """Destination of streams: an entry VM with a key, or a prefill engine and decode engines directly."""
 
     entry: str = ""
     key: str = ""
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class StreamResult:
-    """One stream; times in seconds. `complete` says whether the end mark came."""
+    """Result of one stream. `complete` is set when the end-of-stream marker was received."""
 
     first_token_s: float = 0.0
     tokens: int = 0
@@ -49,36 +49,40 @@
 
 
 class StreamClient:
-    """Keeps `width` streams of `tokens` tokens open until `total` have ended.
+    """Runs streams of up to `tokens` tokens each with non-blocking sockets.
 
-    `tokens` counts what has arrived on all streams, also those that are still open.
+    The attribute `tokens` counts the tokens received on all streams, including those still open.
     """
 
     def __init__(self, target: Target, model: str, tokens: int, seed: int):
         self._target = target
         self._model = model
-        self._length = tokens
-        self._chance = random.Random(seed)
+        self._max_tokens = tokens
+        self._rng = random.Random(seed)
         self._selector = selectors.DefaultSelector()
-        self._run = self._chance.randrange(10**9)
+        self._run_id = self._rng.randrange(10**9)
         self.results: list[StreamResult] = []
         self.tokens = 0
 
-    def run(self, width: int, total: int, spread_s: float, until: float = float("inf")) -> list[StreamResult]:
-        """Starts the first `width` streams over `spread_s` seconds; returns all results."""
+    def run(self, concurrency: int, total: int, spread_s: float, until: float = float("inf")) -> list[StreamResult]:
+        """Keeps `concurrency` streams open until `total` have ended or until the monotonic time `until`.
+
+        The first `concurrency` streams start at random times within `spread_s` seconds. Returns the results of the
+        streams that have ended.
+        """
         now = time.monotonic()
-        starts = sorted(now + self._chance.uniform(0, spread_s) for _ in range(min(width, total)))
-        begun, open_streams = 0, 0
+        starts = sorted(now + self._rng.uniform(0, spread_s) for _ in range(min(concurrency, total)))
+        started_count, open_streams = 0, 0
         while len(self.results) < total and time.monotonic() < until:
             while starts and starts[0] <= time.monotonic():
                 starts.pop(0)
-                self._start(begun)
-                begun, open_streams = begun + 1, open_streams + 1
+                self._start(started_count)
+                started_count, open_streams = started_count + 1, open_streams + 1
             wait = max(0.0, min(0.1, starts[0] - time.monotonic())) if starts else 0.1
             for key, _ in self._selector.select(wait):
-                if self._on_event(key.data):
+                if self._on_readable(key.data):
                     open_streams -= 1
-                    if begun + len(starts) < total:
+                    if started_count + len(starts) < total:
                         starts.append(time.monotonic())
         for key in list(self._selector.get_map().values()):
             self._close(key.data)
@@ -87,14 +91,16 @@
     def _start(self, number: int) -> None:
         stream = _Stream(number, "entry" if self._target.entry else "prefill", started=time.monotonic())
         if self._target.entry:
-            body = {"model": self._model, "prompt": f"stop {number}", "stream": True, "max_tokens": self._length}
+            body = {"model": self._model, "prompt": f"stop {number}", "stream": True, "max_tokens": self._max_tokens}
             self._send(stream, self._target.entry, "/v1/completions", body)
         else:
-            self._send(stream, self._target.prefill, "/engine/prefill", self._body(stream, prompt=f"stop {number}"))
+            self._send(
+                stream, self._target.prefill, "/engine/prefill", self._engine_body(stream, prompt=f"stop {number}")
+            )
 
-    def _body(self, stream: _Stream, **more: object) -> dict[str, object]:
-        identity = {"request_id": f"direct-{self._run}-{stream.number}", "vm": "bench", "incarnation": 1}
-        return {**identity, "model": self._model, **more}
+    def _engine_body(self, stream: _Stream, **fields: object) -> dict[str, object]:
+        identity = {"request_id": f"direct-{self._run_id}-{stream.number}", "vm": "bench", "incarnation": 1}
+        return {**identity, "model": self._model, **fields}
 
     def _send(self, stream: _Stream, address: str, path: str, body: dict[str, object]) -> None:
         data = json.dumps(body).encode()
@@ -108,30 +114,30 @@
         stream.connection.setblocking(False)
         self._selector.register(stream.connection, selectors.EVENT_READ, stream)
 
-    def _on_event(self, stream: _Stream) -> bool:
-        """Reads what is there; returns whether the stream has ended."""
+    def _on_readable(self, stream: _Stream) -> bool:
+        """Reads the available data; returns whether the stream has ended."""
         try:
-            data = stream.connection.recv(_READ)
+            data = stream.connection.recv(_MAX_RECV_BYTES)
         except BlockingIOError:
             return False
         except OSError:
             data = b""
         if data and stream.stage != "prefill":
-            self._count(stream, data)
+            self._count_tokens(stream, data)
         elif data:
             stream.data += data
         if data:
             return False
         self._close(stream)
-        if stream.stage == "prefill" and self._decode(stream):
+        if stream.stage == "prefill" and self._start_decode(stream):
             return False
         self.results.append(stream.result)
         return True
 
-    def _count(self, stream: _Stream, data: bytes) -> None:
-        mark = _CHUNK if stream.stage == "entry" else _TOKEN
-        window = bytes(stream.data[-len(mark) + 1 :]) + data
-        number = window.count(mark)
+    def _count_tokens(self, stream: _Stream, data: bytes) -> None:
+        marker = _ENTRY_TOKEN_MARKER if stream.stage == "entry" else _ENGINE_TOKEN_MARKER
+        window = bytes(stream.data[-len(marker) + 1 :]) + data
+        number = window.count(marker)
         if number and not stream.result.tokens:
             stream.result.first_token_s = time.monotonic() - stream.started
         stream.result.tokens += number
@@ -140,16 +146,16 @@
         if b"[DONE]" in window or b'"end"' in window:
             stream.result.complete = True
 
-    def _decode(self, stream: _Stream) -> bool:
+    def _start_decode(self, stream: _Stream) -> bool:
         head, _, body = bytes(stream.data).partition(b"\r\n\r\n")
         if b" 200 " not in head[:20]:
             return False
         answer = json.loads(body)
         address = self._target.decodes[stream.number % len(self._target.decodes)]
-        more = {"kv_handle": answer["kv_handle"], "source": f"http://{self._target.prefill}"}
-        tokens = {"prompt_tokens": answer["prompt_tokens"], "max_tokens": self._length}
+        fields = {"kv_handle": answer["kv_handle"], "source": f"http://{self._target.prefill}"}
+        tokens = {"prompt_tokens": answer["prompt_tokens"], "max_tokens": self._max_tokens}
         stream.stage = "decode"
-        self._send(stream, address, "/engine/decode", self._body(stream, **more, **tokens))
+        self._send(stream, address, "/engine/decode", self._engine_body(stream, **fields, **tokens))
         return True
 
     def _close(self, stream: _Stream) -> None:
--- a/libs/arbutusrill_bench/_tap.py
+++ b/libs/arbutusrill_bench/_tap.py
@@ -1,4 +1,4 @@
-"""A TCP relay that counts bytes, put between entry VMs and a control VM to measure what they send."""
+"""TCP relay that counts bytes, used to measure the traffic between entry VMs and a control VM."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 __all__ = ["Tap"]
 
-_CHUNK = 262_144
+_MAX_RECV_BYTES = 262_144
 
 
 class Tap:
-    """Relays connections to `target` while its context is open and counts the bytes both ways.
+    """Context manager that relays TCP connections to `target` and counts the bytes in both directions.
 
-    `to_target` and `from_target` are totals in bytes of payload, without the headers of TCP and IP.
+    `to_target` and `from_target` are total payload bytes, without TCP and IP headers.
     """
 
     def __init__(self, target: str):
@@ -50,30 +50,30 @@
                     self._relay(key.fileobj, *key.data)
 
     def _accept(self) -> None:
-        near, _ = self._listener.accept()
+        client, _ = self._listener.accept()
         try:
-            far = socket.create_connection(self._target, timeout=2)
+            upstream = socket.create_connection(self._target, timeout=2)
         except OSError:
-            near.close()
+            client.close()
             return
-        for own, peer, inward in ((near, far, True), (far, near, False)):
-            own.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            own.settimeout(2)
-            self._selector.register(own, selectors.EVENT_READ, (peer, inward))
+        for source, peer, is_to_target in ((client, upstream, True), (upstream, client, False)):
+            source.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            source.settimeout(2)
+            self._selector.register(source, selectors.EVENT_READ, (peer, is_to_target))
 
-    def _relay(self, own: socket.socket, peer: socket.socket, inward: bool) -> None:
+    def _relay(self, source: socket.socket, peer: socket.socket, is_to_target: bool) -> None:
         try:
-            data = own.recv(_CHUNK)
+            data = source.recv(_MAX_RECV_BYTES)
             if data:
                 peer.sendall(data)
-                if inward:
+                if is_to_target:
                     self.to_target += len(data)
                 else:
                     self.from_target += len(data)
                 return
         except OSError:
             pass
-        for closed in (own, peer):
+        for closed in (source, peer):
             try:
                 self._selector.unregister(closed)
             except (KeyError, ValueError):
--- a/libs/arbutusrill_bench/_usage.py
+++ b/libs/arbutusrill_bench/_usage.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of processes, read from /proc, and straight-line fits."""
+"""Measures the processor time and memory of processes from /proc, and fits lines to measurements."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """What a process used: `core` in parts of one processor core, `rss_mb` in 2^20 bytes."""
+    """Resource usage of a process: `core` as a fraction of one processor core, `rss_mb` in 2^20 bytes."""
 
     core: float
     rss_mb: float
@@ -23,14 +23,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fit:
-    """A straight line through measured points: value = `base` + `slope` x n, with its largest deviation."""
+    """Least-squares line value = `base` + `slope` x n; `deviation` is its largest absolute residual."""
 
     base: float
     slope: float
     deviation: float
 
     def at(self, count: float) -> float:
-        """Returns the line's value."""
+        """Returns the value of the line at `count`."""
         return self.base + self.slope * count
 
 
@@ -47,7 +47,7 @@
 
 
 def _cpu_s(pid: int) -> float:
-    """Returns the processor time of the threads that run, in seconds; /proc/PID/stat counts whole 10 ms only."""
+    """Returns the processor time of the existing threads in seconds; schedstat is finer than the 10 ms of stat."""
     tasks = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e9
 
@@ -58,7 +58,7 @@
 
 
 def usage_over(members: list[Member], seconds: float) -> dict[str, Usage]:
-    """Returns the usage of running members over the next `seconds`."""
+    """Measures the usage of running members over the next `seconds`; returns it by member name."""
     before = {member.name: _cpu_s(member.process.pid) for member in members}
     began = time.monotonic()
     time.sleep(seconds)
--- a/libs/arbutusrill_bench/_workload.py
+++ b/libs/arbutusrill_bench/_workload.py
@@ -1,4 +1,4 @@
-"""Seeded load: who sends what and when. Arrivals are fixed beforehand and do not wait for answers."""
+"""Generates seeded open-loop load: arrival times are fixed in advance and do not depend on responses."""
 
 from __future__ import annotations
 
@@ -8,50 +8,51 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 
-__all__ = ["BYTES_PER_TOKEN", "ClassMix", "Planned", "Span", "Workload", "WorkspaceLoad", "plan", "prompt_text"]
+__all__ = ["BYTES_PER_TOKEN", "ClassMix", "PlannedRequest", "Span", "Workload", "WorkspaceLoad", "plan", "prompt_text"]
 
 BYTES_PER_TOKEN = 4
-_SESSION_TURNS = 4
+_SESSION_WINDOW_HALF_SECONDS = 4
 _SESSIONS_PER_WORKSPACE = 24
-_WORDS = ("stop", "gate", "bus", "left", "seat", "road", "turn", "noon")  # with the space, 1 to 1.25 tokens each
+_FILLER_WORDS = ("stop", "gate", "bus", "left", "seat", "road", "turn", "noon")  # with the space, 1 to 1.25 tokens each
 
 
 @dataclass(slots=True, frozen=True)
 class Span:
-    """Times of a load in seconds: a warm-up, the measured time, and a time after it.
+    """Lengths of the phases of a load in seconds: warm-up, measurement and cool-down.
 
-    Arrivals go on in the time after it, so that measured requests that wait compete with later ones; without
-    that, a policy could put off work to an idle end of the run.
+    Requests keep arriving during the cool-down, so that queued measured requests compete with later ones. Otherwise a
+    policy could improve its figures by deferring work to an idle period at the end of the run.
     """
 
     warm_up: float
     measured: float
-    after: float
+    cool_down: float
 
     @property
     def end(self) -> float:
-        """When the measured time ends."""
+        """End of the measurement phase, in seconds from the start of the load."""
         return self.warm_up + self.measured
 
-    def measures(self, at: float) -> bool:
-        """Says whether a request sent at `at` is measured."""
+    def is_measured(self, at: float) -> bool:
+        """Returns whether a request sent `at` seconds after the start falls into the measurement phase."""
         return self.warm_up <= at < self.end
 
-    def part(self, at: float) -> float:
-        """Returns a moment as a part of the measured time: below 0 before it, above 1 after it."""
+    def fraction(self, at: float) -> float:
+        """Converts a time to a fraction of the measurement phase: below 0 before it, above 1 after it."""
         return (at - self.warm_up) / self.measured
 
 
 @dataclass(slots=True, frozen=True)
 class ClassMix:
-    """Requests of one latency class: their part, token counts (quantiles of a log-normal) and patience.
+    """Requests of one latency class: fraction of the load, token counts and timeouts.
 
-    `patience_s` is the time after which a caller without a first token leaves; `deadline_s` is sent with the
-    request. A class with a deadline has no target for its first token, only that the answer is whole in time.
+    The prompt length is log-normal with the given median and 95% quantile. `patience_s` is the time after which a
+    caller that has no first token disconnects; `deadline_s` is sent with the request. A class with a deadline has no
+    target for its first token: the response must be complete before the deadline.
     """
 
     name: str
-    part: float
+    fraction: float
     prompt_median: int
     prompt_p95: int
     output_tokens: int
@@ -61,20 +62,20 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkspaceLoad:
-    """One workspace: its part of the nominal load, and by how much its callers exceed that part."""
+    """Load of one workspace: its fraction of the nominal load, and a factor by which its callers exceed it."""
 
     name: str
-    part: float
+    fraction: float
     factor: float = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class Workload:
-    """A load on one model pool and one plain service. Rates are requests per second, times seconds.
+    """Load on one model pool and one plain service. Rates are in requests per second, times in seconds.
 
-    `profile` lists pairs of the moment, as a part of the measured time, and the factor of the rate from then on;
-    the first factor also holds before it.
-    `limit_factor` sets each workspace's rate to that multiple of its part of the nominal load in tokens.
+    `profile` lists pairs of a time, as a fraction of the measurement phase, and the factor applied to the rate from
+    that time on; the first factor also applies before it. `limit_factor` sets each workspace's rate limit to that
+    multiple of its fraction of the nominal load in tokens.
     """
 
     rate: float
@@ -82,19 +83,19 @@
     workspaces: tuple[WorkspaceLoad, ...]
     profile: tuple[tuple[float, float], ...] = ((0.0, 1.0),)
     plain_rate: float = 6.0
-    shared_part: float = 0.5  # of the requests that belong to a session with a shared prefix
-    shared_share: float = 0.6  # of such a prompt that is shared
-    leaving_part: float = 0.0
+    session_fraction: float = 0.5  # of the requests: those that belong to a session with a shared prefix
+    shared_prefix_fraction: float = 0.6  # of the prompt of such a request
+    leaving_fraction: float = 0.0
     limit_factor: float = 2.0
-    burst_s: float = 10.0  # burst in seconds of the rate
+    burst_s: float = 10.0  # burst, as the time in which the rate supplies that many tokens
 
     def mean_tokens(self) -> float:
-        """Returns the mean charge of a completion in tokens."""
-        return sum(mix.part * (_mean_prompt(mix) + mix.output_tokens) for mix in self.classes)
+        """Returns the mean number of tokens charged for a completion."""
+        return sum(mix.fraction * (_mean_prompt_tokens(mix) + mix.output_tokens) for mix in self.classes)
 
     def limit(self, workspace: WorkspaceLoad) -> tuple[float, float]:
-        """Returns a workspace's rate in tokens per second and its burst in tokens."""
-        rate = self.rate * workspace.part * self.mean_tokens() * self.limit_factor
+        """Returns a workspace's rate limit in tokens per second and its burst in tokens."""
+        rate = self.rate * workspace.fraction * self.mean_tokens() * self.limit_factor
         largest = max(mix.prompt_p95 * 2 + mix.output_tokens for mix in self.classes)
         return rate, max(rate * self.burst_s, 2.0 * largest)
 
@@ -111,8 +112,8 @@
 
 
 @dataclass(slots=True)
-class Planned:
-    """One request of the plan; `at` is in seconds from the start of the load."""
+class PlannedRequest:
+    """One request of the plan; `at` is its send time in seconds from the start of the load."""
 
     number: int
     at: float
@@ -125,71 +126,71 @@
     output_tokens: int = 0
     patience_s: float = 5.0
     deadline_s: float = 0.0
-    leave_s: float = 0.0  # the caller leaves then in any case; 0: never
+    leave_s: float = 0.0  # the caller disconnects after this time even while tokens arrive; 0: never
     entry_choice: float = field(default=0.0)
 
     @property
     def mark(self) -> str:
-        """The text that the answer must repeat."""
+        """Text that each token of the response must repeat."""
         return f"q{self.number}"
 
     @property
     def charge(self) -> int:
-        """Tokens charged to the workspace at admission."""
+        """Number of tokens charged to the workspace at admission."""
         return self.prompt_tokens + self.output_tokens
 
 
-def plan(workload: Workload, span: Span, seed: int) -> list[Planned]:
-    """Returns the requests of a load in the order of their arrival; the same seed gives the same plan.
+def plan(workload: Workload, span: Span, seed: int) -> list[PlannedRequest]:
+    """Returns the requests of a load in order of arrival; the same seed gives the same plan.
 
-    Arrivals are a Poisson process for each workspace, so that one workspace's requests do not change when
-    another one sends more.
+    Each workspace has its own Poisson process, so that the requests of one workspace do not change when another
+    workspace sends more.
     """
-    requests: list[Planned] = []
+    requests: list[PlannedRequest] = []
     for workspace in workload.workspaces:
-        source = random.Random(f"{seed}/{workspace.name}")
-        rate = workload.rate * workspace.part * workspace.factor
-        for at in _arrivals(source, rate, workload.profile, span):
-            requests.append(_completion(workload, workspace.name, at, source))
-        source = random.Random(f"{seed}/{workspace.name}/plain")
-        for at in _arrivals(source, workload.plain_rate * workspace.part, ((0.0, 1.0),), span):
-            kind = "booking" if source.random() < 0.5 else "lookup"
-            requests.append(Planned(0, at, kind, workspace.name, entry_choice=source.random()))
+        rng = random.Random(f"{seed}/{workspace.name}")
+        rate = workload.rate * workspace.fraction * workspace.factor
+        for at in _arrival_times(rng, rate, workload.profile, span):
+            requests.append(_plan_completion(workload, workspace.name, at, rng))
+        rng = random.Random(f"{seed}/{workspace.name}/plain")
+        for at in _arrival_times(rng, workload.plain_rate * workspace.fraction, ((0.0, 1.0),), span):
+            kind = "booking" if rng.random() < 0.5 else "lookup"
+            requests.append(PlannedRequest(0, at, kind, workspace.name, entry_choice=rng.random()))
     requests.sort(key=lambda request: request.at)
     for number, request in enumerate(requests):
         request.number = number
     return requests
 
 
-def _arrivals(
-    source: random.Random, rate: float, profile: tuple[tuple[float, float], ...], span: Span
+def _arrival_times(
+    rng: random.Random, rate: float, profile: tuple[tuple[float, float], ...], span: Span
 ) -> Iterator[float]:
-    """Yields arrival times by thinning a Poisson process of the largest rate."""
-    top = max(factor for _, factor in profile)
+    """Yields the arrival times of a non-homogeneous Poisson process, by thinning one at the highest rate."""
+    max_factor = max(factor for _, factor in profile)
     at = 0.0
     while rate > 0:
-        at += source.expovariate(rate * top)
-        if at >= span.end + span.after:
+        at += rng.expovariate(rate * max_factor)
+        if at >= span.end + span.cool_down:
             return
-        begun = [value for begin, value in profile if span.part(at) >= begin]
-        factor = begun[-1] if begun else profile[0][1]
-        if source.random() < factor / top:
+        factors = [value for start, value in profile if span.fraction(at) >= start]
+        factor = factors[-1] if factors else profile[0][1]
+        if rng.random() < factor / max_factor:
             yield at
 
 
-def _completion(workload: Workload, workspace: str, at: float, source: random.Random) -> Planned:
-    mix = source.choices(workload.classes, [mix.part for mix in workload.classes])[0]
+def _plan_completion(workload: Workload, workspace: str, at: float, rng: random.Random) -> PlannedRequest:
+    mix = rng.choices(workload.classes, [mix.fraction for mix in workload.classes])[0]
     sigma = _sigma(mix)
-    tokens = int(mix.prompt_median * math.exp(source.gauss(0, sigma)))
+    tokens = int(mix.prompt_median * math.exp(rng.gauss(0, sigma)))
     tokens = max(24, min(tokens, 2 * mix.prompt_p95))
     session, shared = "", 0
-    if source.random() < workload.shared_part:
-        # A few turns of a session follow each other, then another session takes its number.
-        turn = int(at * 2) // _SESSION_TURNS
-        session = f"{workspace}/{mix.name}/{turn}/{source.randrange(_SESSIONS_PER_WORKSPACE // 8)}"
-        shared = int(tokens * workload.shared_share)
-    leave_s = source.uniform(0.1, 3.0) if source.random() < workload.leaving_part else 0.0
-    return Planned(
+    if rng.random() < workload.session_fraction:
+        # Each 2 s window has its own sessions, so that several turns of one session arrive close together.
+        window_index = int(at * 2) // _SESSION_WINDOW_HALF_SECONDS
+        session = f"{workspace}/{mix.name}/{window_index}/{rng.randrange(_SESSIONS_PER_WORKSPACE // 8)}"
+        shared = int(tokens * workload.shared_prefix_fraction)
+    leave_s = rng.uniform(0.1, 3.0) if rng.random() < workload.leaving_fraction else 0.0
+    return PlannedRequest(
         0,
         at,
         "completion",
@@ -202,7 +203,7 @@
         mix.patience_s,
         mix.deadline_s,
         leave_s,
-        source.random(),
+        rng.random(),
     )
 
 
@@ -210,30 +211,33 @@
     return math.log(mix.prompt_p95 / mix.prompt_median) / 1.645
 
 
-def _mean_prompt(mix: ClassMix) -> float:
+def _mean_prompt_tokens(mix: ClassMix) -> float:
     return mix.prompt_median * math.exp(_sigma(mix) ** 2 / 2)
 
 
 @functools.lru_cache(maxsize=512)
-def _text(name: str, tokens: int) -> str:
-    source = random.Random(name)
-    words = " ".join(source.choices(_WORDS, k=tokens))
+def _filler_text(name: str, tokens: int) -> str:
+    rng = random.Random(name)
+    words = " ".join(rng.choices(_FILLER_WORDS, k=tokens))
     return words[: tokens * BYTES_PER_TOKEN].ljust(tokens * BYTES_PER_TOKEN, ".")
 
 
-def prompt_text(request: Planned, seed: int) -> str:
-    """Returns the prompt of a planned request, of 4 bytes per token.
+def prompt_text(request: PlannedRequest, seed: int) -> str:
+    """Returns the prompt of a planned request, with `BYTES_PER_TOKEN` bytes per token.
 
-    Requests of one session share the beginning of one long text; the mark, which the answer repeats, comes
-    at the end.
+    Requests of one session share a prefix; the mark, which the response repeats, is at the end.
 
-    >>> len(prompt_text(Planned(7, 0.0, "completion", "w", prompt_tokens=40), 1)) // BYTES_PER_TOKEN
+    >>> len(prompt_text(PlannedRequest(7, 0.0, "completion", "w", prompt_tokens=40), 1)) // BYTES_PER_TOKEN
     40
     """
-    tail = f" [[{request.mark}]] "
-    own = max(0, (request.prompt_tokens - request.shared_tokens) * BYTES_PER_TOKEN - len(tail))
+    suffix = f" [[{request.mark}]] "
+    unshared_bytes = max(0, (request.prompt_tokens - request.shared_tokens) * BYTES_PER_TOKEN - len(suffix))
     shared = ""
     if request.shared_tokens:
-        shared = _text(f"{seed}/{request.session}", 2 ** math.ceil(math.log2(request.shared_tokens)))
+        shared = _filler_text(f"{seed}/{request.session}", 2 ** math.ceil(math.log2(request.shared_tokens)))
     shared = shared[: request.shared_tokens * BYTES_PER_TOKEN]
-    return shared + _text(f"{seed}/{request.number}", own // BYTES_PER_TOKEN + 1)[:own] + tail
+    return (
+        shared
+        + _filler_text(f"{seed}/{request.number}", unshared_bytes // BYTES_PER_TOKEN + 1)[:unshared_bytes]
+        + suffix
+    )
--- a/libs/arbutusrill_bench/capacity.py
+++ b/libs/arbutusrill_bench/capacity.py
@@ -1,6 +1,6 @@
-"""Measures how cost grows with size on this machine, for docs/CAPACITY.md.
+"""Measures how resource usage scales with the size of a site on this machine, for docs/CAPACITY.md.
 
-Run as ``python -m arbutusrill_bench.capacity``; it takes a few minutes and prints straight-line fits.
+Run as ``python -m arbutusrill_bench.capacity``; takes a few minutes and prints linear fits.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
 __all__ = ["main"]
 
 _ROOT = Path(__file__).parents[2]
-_SETTLE_S = 3.0
-_ANNOUNCE_S = 0.5
-_MODEL = "route-writer"
+_SETTLING_TIME_S = 3.0
+_ANNOUNCEMENT_PERIOD_S = 0.5
+_MODEL_NAME = "route-writer"
 
 
 @dataclass(slots=True)
 class Table:
-    """One series of measurements: a row for each size and a fit for each column but the first."""
+    """One series of measurements: a row for each size, which is the first column."""
 
     title: str
     columns: list[str]
     rows: list[list[float]] = field(default_factory=list)
 
     def fits(self) -> dict[str, Fit]:
-        """Returns a straight line for each column over the first."""
+        """Returns a linear fit of each other column over the first; empty with fewer than two rows."""
         if len(self.rows) < 2:
             return {}
         return {
@@ -55,7 +55,7 @@
         }
 
     def lines(self) -> list[str]:
-        """Returns the series as text."""
+        """Returns the series as lines of text."""
         lines = [self.title, "  ".join(f"{name:>22}" for name in self.columns)]
         lines += ["  ".join(f"{value:>22.4g}" for value in row) for row in self.rows]
         unit = self.columns[0]
@@ -68,7 +68,7 @@
 
 @contextmanager
 def _site(entries: int, controls: int = 1) -> Iterator[tuple[LocalSite, Tap]]:
-    """Starts a site whose entry VMs reach the first control VM through a byte counter."""
+    """Starts a site; with one control VM, entry VMs connect to it through a relay that counts bytes."""
     with ExitStack() as stack:
         site = LocalSite(controls=controls, entries=entries)
         tap = stack.enter_context(Tap(site.of_kind("control")[0].rpc))
@@ -82,23 +82,23 @@
 
 
 def entries_series(counts: list[int], window_s: float) -> Table:
-    """Measures idle entry VMs and the control VM that they follow."""
+    """Measures idle entry VMs and the control VM whose changes they follow."""
     table = Table(
         "entry VMs at rest, one control VM",
         ["entries", "core/entry", "MB/entry", "B/s to control", "B/s from control", "core control", "MB control"],
     )
     for count in counts:
         with _site(count) as (site, tap):
-            time.sleep(_SETTLE_S)
+            time.sleep(_SETTLING_TIME_S)
             sent, received = tap.to_target, tap.from_target
-            used = usage_over([*site.of_kind("entry"), *site.of_kind("control")], window_s)
-            mine = [used[member.name] for member in site.of_kind("entry")]
-            control = used["control1"]
+            usage_by_member = usage_over([*site.of_kind("entry"), *site.of_kind("control")], window_s)
+            entry_usages = [usage_by_member[member.name] for member in site.of_kind("entry")]
+            control = usage_by_member["control1"]
             table.rows.append(
                 [
                     count,
-                    sum(row.core for row in mine) / count,
-                    sum(row.rss_mb for row in mine) / count,
+                    sum(row.core for row in entry_usages) / count,
+                    sum(row.rss_mb for row in entry_usages) / count,
                     (tap.to_target - sent) / window_s / count,
                     (tap.from_target - received) / window_s / count,
                     control.core,
@@ -109,42 +109,42 @@
 
 
 def replicas_series(counts: list[int], window_s: float) -> Table:
-    """Measures three control VMs with idle entry VMs."""
+    """Measures the leader and a follower of three control VMs with idle entry VMs."""
     table = Table(
         "entry VMs at rest, three control VMs",
         ["entries", "core leader", "MB leader", "core follower", "MB follower"],
     )
     for count in counts:
         with _site(count, controls=3) as (site, _):
-            time.sleep(_SETTLE_S)
-            used = usage_over(site.of_kind("control"), window_s)
-            leader, *followers = sorted(used.values(), key=lambda usage: -usage.core)
+            time.sleep(_SETTLING_TIME_S)
+            usage_by_member = usage_over(site.of_kind("control"), window_s)
+            leader, *followers = sorted(usage_by_member.values(), key=lambda usage: -usage.core)
             follower = followers[0]
             table.rows.append([count, leader.core, leader.rss_mb, follower.core, follower.rss_mb])
     return table
 
 
 def workspaces_series(counts: list[int], window_s: float) -> Table:
-    """Measures entry and control VMs that know many workspaces with one key each."""
+    """Measures entry and control VMs with many workspaces that have one key each."""
     table = Table(
         "workspaces known, one key each, four entry VMs",
         ["workspaces", "core/entry", "MB/entry", "core control", "MB control", "follow B/s/entry"],
     )
     with _site(4) as (site, tap):
-        known = 0
+        existing_count = 0
         for count in counts:
             with ThreadPoolExecutor(8) as executor:
-                list(executor.map(lambda number: _add_workspace(site, number), range(known, count)))
-            known = count
-            time.sleep(_SETTLE_S)
+                list(executor.map(lambda number: _add_workspace(site, number), range(existing_count, count)))
+            existing_count = count
+            time.sleep(_SETTLING_TIME_S)
             before = tap.from_target + tap.to_target
-            used = usage_over([*site.of_kind("entry"), *site.of_kind("control")], window_s)
-            passed = (tap.from_target + tap.to_target - before) / window_s / 4
-            mine = [used[member.name] for member in site.of_kind("entry")]
-            control = used["control1"]
-            core = sum(row.core for row in mine) / 4
-            memory = sum(row.rss_mb for row in mine) / 4
-            table.rows.append([count, core, memory, control.core, control.rss_mb, passed])
+            usage_by_member = usage_over([*site.of_kind("entry"), *site.of_kind("control")], window_s)
+            bytes_per_s = (tap.from_target + tap.to_target - before) / window_s / 4
+            entry_usages = [usage_by_member[member.name] for member in site.of_kind("entry")]
+            control = usage_by_member["control1"]
+            core = sum(row.core for row in entry_usages) / 4
+            memory = sum(row.rss_mb for row in entry_usages) / 4
+            table.rows.append([count, core, memory, control.core, control.rss_mb, bytes_per_s])
     return table
 
 
@@ -155,7 +155,7 @@
 
 
 def grants_series(counts: list[int]) -> Table:
-    """Measures one grant request with many workspaces, in this process: processor time and bytes."""
+    """Measures the processor time and message sizes of one grant request with many workspaces, in this process."""
     table = Table(
         "one grant request with n workspaces, in process", ["workspaces", "ms leader", "B request", "B reply"]
     )
@@ -169,15 +169,15 @@
         data = encode(request)
         replies = []
 
-        def once(data: bytes = data, owner: GrantOwner = owner, replies: list = replies) -> None:
+        def grant_once(data: bytes = data, owner: GrantOwner = owner, replies: list = replies) -> None:
             replies.append(encode(owner.grant(decode(messages.GrantRequest, data), 1)))
 
-        table.rows.append([count, _ms_of(once), len(data), len(replies[-1])])
+        table.rows.append([count, _mean_cpu_ms(grant_once), len(data), len(replies[-1])])
     return table
 
 
-def _ms_of(function: Callable[[], object], seconds: float = 0.5) -> float:
-    """Returns the mean processor time of a call in milliseconds."""
+def _mean_cpu_ms(function: Callable[[], object], seconds: float = 0.5) -> float:
+    """Returns the mean processor time per call in milliseconds, over at least 3 calls and `seconds`."""
     calls = 0
     began = time.process_time()
     while calls < 3 or time.process_time() - began < seconds:
@@ -187,10 +187,10 @@
 
 
 def runners_series(counts: list[int], window_s: float) -> Table:
-    """Measures announcements of many runners of one pool at the receiving entry VMs and at the pool's owner.
+    """Measures the cost of runner announcements at the receiving entry VMs and at the owner of the pool.
 
-    The runners are spread over four entry VMs; at most 400 are announced at their true period, more of them at
-    a longer one, and the processor time is scaled to the true period.
+    The runners announce themselves to four entry VMs. Up to 400 runners use the real period of
+    `_ANNOUNCEMENT_PERIOD_S`; more use a longer period, and the processor time is scaled to the real one.
     """
     table = Table(
         "runners of one pool announced every 0.5 s to four entry VMs",
@@ -198,29 +198,29 @@
     )
     with _site(4) as (site, _):
         for count in counts:
-            period = _ANNOUNCE_S * max(1.0, count / 400)
-            with _Announcements(site, count, period) as sender:
-                time.sleep(_SETTLE_S + period)
+            period = _ANNOUNCEMENT_PERIOD_S * max(1.0, count / 400)
+            with _AnnouncementSender(site, count, period) as sender:
+                time.sleep(_SETTLING_TIME_S + period)
                 sent, failed, began = sender.sent, sender.failed, time.monotonic()
-                used = usage_over(site.of_kind("entry"), window_s)
-                passed = time.monotonic() - began
-                rate = (sender.sent - sent) / passed
-                owner = _owner(site)
-                others = [usage for name, usage in used.items() if name != owner]
-                factor = count / _ANNOUNCE_S / max(1.0, rate)
+                usage_by_member = usage_over(site.of_kind("entry"), window_s)
+                elapsed_s = time.monotonic() - began
+                rate = (sender.sent - sent) / elapsed_s
+                owner = _pool_owner(site)
+                others = [usage for name, usage in usage_by_member.items() if name != owner]
+                factor = count / _ANNOUNCEMENT_PERIOD_S / max(1.0, rate)
                 receiver = sum(usage.core for usage in others) / len(others)
-                row = [count, used[owner].core * factor, used[owner].rss_mb, receiver * factor]
+                row = [count, usage_by_member[owner].core * factor, usage_by_member[owner].rss_mb, receiver * factor]
                 table.rows.append([*row, rate, sender.failed - failed])
     return table
 
 
-def _owner(site: LocalSite) -> str:
+def _pool_owner(site: LocalSite) -> str:
     pools = site.operators.call("GET", "/status")["pools"]
-    return next((pool["owner"] for pool in pools if pool["name"] == _MODEL), site.of_kind("entry")[0].name)
+    return next((pool["owner"] for pool in pools if pool["name"] == _MODEL_NAME), site.of_kind("entry")[0].name)
 
 
-class _Announcements:
-    """Announces runners that do not exist, each once in `period` seconds, over kept connections."""
+class _AnnouncementSender:
+    """Announces simulated runners from background threads, each once every `period` seconds."""
 
     _THREADS = 12
 
@@ -233,7 +233,7 @@
         self.sent = 0
         self.failed = 0
 
-    def __enter__(self) -> _Announcements:
+    def __enter__(self) -> _AnnouncementSender:
         self._executor = ThreadPoolExecutor(self._THREADS)
         for number in range(self._THREADS):
             self._executor.submit(self._run, number)
@@ -245,26 +245,26 @@
 
     def _run(self, first: int) -> None:
         due = time.monotonic()
-        mine = list(range(first, self._count, self._THREADS))
-        while not self._stopping and mine:
-            for runner in mine:
-                due += self._period / len(mine)
+        runners = list(range(first, self._count, self._THREADS))
+        while not self._stopping and runners:
+            for runner in runners:
+                due += self._period / len(runners)
                 time.sleep(max(0.0, due - time.monotonic()))
                 if self._stopping:
                     return
                 url = f"http://{self._entries[runner % len(self._entries)]}/backends/announce"
-                result = fetch(Transfer("POST", url, self._headers, _announcement(runner), timeout_s=5.0))
+                result = fetch(Transfer("POST", url, self._headers, _announcement_body(runner), timeout_s=5.0))
                 self.sent += 1
                 self.failed += result.status != 200
 
 
-def _announcement(runner: int) -> bytes:
+def _announcement_body(runner: int) -> bytes:
     value = {
         "id": f"runner{runner}",
         "incarnation": runner + 1,
         "address": f"http://127.0.0.1:{20_000 + runner}",
         "role": "prefill" if runner % 2 else "decode",
-        "pools": [_MODEL],
+        "pools": [_MODEL_NAME],
         "data_centre": f"dc{runner % 21}",
         "slots": 20,
         "prefill_tokens_per_s": 10_000.0,
@@ -278,28 +278,28 @@
 
 
 def revisions_series(counts: list[int]) -> Table:
-    """Measures the size of the shared state after n changes, and what it takes to write and read it whole."""
+    """Measures the snapshot size of the shared state after n changes, and the cost to encode and restore it."""
     table = Table(
         "changes applied, in process (a key issued and withdrawn, a default, a workspace, in turn)",
         ["revisions", "KB snapshot", "ms encode", "ms restore", "us apply"],
     )
     state, applied, apply_s = SharedState(), 0, 0.0
     for count in counts:
-        commands = [encode(_change(number)) for number in range(applied, count)]
+        commands = [encode(_change_command(number)) for number in range(applied, count)]
         began = time.process_time()
         for data in commands:
             state.apply(data)
         apply_s += time.process_time() - began
         applied = count
         data = state.snapshot()
-        encode_ms = _ms_of(state.snapshot)
+        encode_ms = _mean_cpu_ms(state.snapshot)
         restored = SharedState()
-        restore_ms = _ms_of(lambda data=data, restored=restored: restored.restore(data))
+        restore_ms = _mean_cpu_ms(lambda data=data, restored=restored: restored.restore(data))
         table.rows.append([count, len(data) / 1024, encode_ms, restore_ms, apply_s * 1e6 / max(1, applied)])
     return table
 
 
-def _change(number: int) -> object:
+def _change_command(number: int) -> object:
     kind, serial = number % 4, number // 4
     workspace = f"workspace{serial % 1100}"
     change = (
@@ -312,7 +312,7 @@
 
 
 def transfer_series(counts: list[int]) -> Table:
-    """Measures how long changes take one after the other, and how soon a restarted entry VM is ready again."""
+    """Measures the rate of changes sent by 8 concurrent clients, and how soon a restarted entry VM is ready."""
     table = Table(
         "changes over HTTP at a real site, then an entry VM started anew",
         ["revisions", "changes/s", "s until ready"],
@@ -322,7 +322,7 @@
         for count in counts:
             began = time.monotonic()
             with ThreadPoolExecutor(8) as executor:
-                list(executor.map(lambda number: _set_default(site, number), range(made, count)))
+                list(executor.map(lambda number: _put_workspace(site, number), range(made, count)))
             rate = (count - made) / (time.monotonic() - began)
             made = count
             site.restart("entry2")
@@ -332,17 +332,17 @@
     return table
 
 
-def _set_default(site: LocalSite, number: int) -> None:
+def _put_workspace(site: LocalSite, number: int) -> None:
     site.operators.call("PUT", f"/workspaces/w{number % 1100}", {"rate": 1000.0 + number, "burst": 9000.0})
 
 
 def main(
-    quick: Annotated[bool, typer.Option("--quick", help="small sizes only, to check the program")] = False,
-    out: Annotated[Path, typer.Option(help="folder for the results")] = _ROOT / "out",
+    quick: Annotated[bool, typer.Option("--quick", help="use small sizes only, to check the program")] = False,
+    out: Annotated[Path, typer.Option(help="directory for the results")] = _ROOT / "out",
 ) -> None:
-    """Measures all series and prints them with their fits."""
+    """Runs all series, prints them with their fits and writes ``capacity.json``."""
     window_s = 2.0 if quick else 8.0
-    series: list[Callable[[], Table]] = [
+    measurements: list[Callable[[], Table]] = [
         lambda: entries_series([2, 4] if quick else [4, 16, 48], window_s),
         lambda: replicas_series([2, 4] if quick else [4, 16, 48], window_s),
         lambda: workspaces_series([10, 50] if quick else [10, 100, 400, 1100], window_s),
@@ -354,7 +354,7 @@
     head = f"commit {commit_name(_ROOT)}, {time.strftime('%Y-%m-%d %H:%M')}, {os.cpu_count()} processors"
     typer.echo(f"{head}, load average at start {os.getloadavg()[0]:.1f}\n")
     tables = []
-    for measure in series:
+    for measure in measurements:
         try:
             tables.append(measure())
         except (OperatorError, ValueError) as error:
--- a/libs/arbutusrill_bench/decision_speed.py
+++ b/libs/arbutusrill_bench/decision_speed.py
@@ -1,8 +1,8 @@
-"""Measures what the pool owner's decisions cost.
+"""Measures the cost of the pool owner's scheduling decisions.
 
-Run as ``PYTHONPATH=libs python -m arbutusrill_bench.decision_speed``. Calls the real `PoolOwner` in one thread, without
-network: the time of an acquire that assigns (with its release in between, not counted), announcements a second, and
-memory for each server and each waiting ticket.
+Run as ``PYTHONPATH=libs python -m arbutusrill_bench.decision_speed``. Calls the real `PoolOwner` in one thread without
+a network, and measures the time of an acquire that assigns a server (releases are timed separately), announcements
+per second, and memory for each server and each queued ticket.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from arbutusrill_pool import PoolOwner
 from arbutusrill_wire import messages
 
-__all__ = ["SpeedReport", "measure"]
+__all__ = ["DecisionCosts", "measure"]
 
 _DATA_CENTRES = 7
 _WORKSPACES = 50
-_FILLED = 0.67
-_HOLD_S = 1.2  # of a request with 100 output tokens
-_REFRESH_S = 0.4  # keeps all servers announced, as they are in service
+_USED_SLOT_FRACTION = 0.67
+_SLOT_HOLD_S = 1.2  # for a request with 100 output tokens
+_ANNOUNCEMENT_PERIOD_S = 0.4  # frequent enough that no server is considered lost
 
 
 @dataclass(slots=True)
-class SpeedReport:
-    """Measured costs. Times in milliseconds, rates per second, memory in bytes."""
+class DecisionCosts:
+    """Measured costs: times in milliseconds, rates per second, memory in bytes."""
 
     servers: int
     median_ms: float
@@ -42,8 +42,8 @@
     ticket_bytes: float
 
 
-def _announcement(number: int, prefills: int) -> Any:
-    role = "prefill" if number < prefills else "decode"
+def _announcement(number: int, prefill_count: int) -> Any:
+    role = "prefill" if number < prefill_count else "decode"
     return messages.Announcement(
         f"runner-{number}",
         number + 1,
@@ -60,7 +60,7 @@
     )
 
 
-def _request(number: int, draw: random.Random, output_tokens: int = 100) -> Any:
+def _acquire_request(number: int, rng: random.Random, output_tokens: int = 100) -> Any:
     return messages.AcquireRequest(
         "m",
         f"req-{number:022d}",
@@ -70,16 +70,16 @@
         1.0,
         "interactive",
         5000,
-        draw.randrange(20, 6000),
+        rng.randrange(20, 6000),
         output_tokens,
         data_centre=f"dc{number % _DATA_CENTRES}",
         wait_ms=0,
     )
 
 
-def measure(servers: int, requests: int, seed: int) -> SpeedReport:
-    """Measures a pool of that many servers, a third of them for prefill, at about two thirds of its slots."""
-    draw = random.Random(seed)
+def measure(servers: int, requests: int, seed: int) -> DecisionCosts:
+    """Measures a pool of `servers` servers, a third of them for prefill, with two thirds of the decode slots in use."""
+    rng = random.Random(seed)
     announcements = [_announcement(number, max(1, servers // 3)) for number in range(servers)]
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -90,7 +90,7 @@
     server_bytes = (tracemalloc.get_traced_memory()[0] - before) / servers
     tracemalloc.stop()
     owner.tick()
-    acquire_ms, release_ms = _decisions(owner, clock, announcements, requests, draw)
+    acquire_ms, release_ms = _measure_decisions(owner, clock, announcements, requests, rng)
     started = time.perf_counter()
     for _ in range(3):
         for each in announcements:
@@ -100,7 +100,7 @@
     owner.tick()
     tick_ms = (time.perf_counter() - started) * 1000
     acquire_ms.sort()
-    return SpeedReport(
+    return DecisionCosts(
         servers,
         statistics.median(acquire_ms),
         acquire_ms[int(0.99 * len(acquire_ms))],
@@ -108,12 +108,12 @@
         3 * servers / announcing_s,
         tick_ms,
         server_bytes,
-        _ticket_bytes(owner, draw),
+        _measure_ticket_bytes(owner, rng),
     )
 
 
-def _decisions(
-    owner: PoolOwner, clock: ManualClock, announcements: list[Any], requests: int, draw: random.Random
+def _measure_decisions(
+    owner: PoolOwner, clock: ManualClock, announcements: list[Any], requests: int, rng: random.Random
 ) -> tuple[list[float], list[float]]:
     slots = sum(each.slots for each in announcements if each.role == "decode")
     held: list[str] = []
@@ -121,13 +121,13 @@
     release_ms: list[float] = []
     announced_at = clock.monotonic()
     for number in range(requests):
-        clock.advance(_HOLD_S / (slots * _FILLED))  # the rate at which that part of the slots is held
-        if clock.monotonic() - announced_at > _REFRESH_S:
+        clock.advance(_SLOT_HOLD_S / (slots * _USED_SLOT_FRACTION))  # arrival rate that keeps that fraction in use
+        if clock.monotonic() - announced_at > _ANNOUNCEMENT_PERIOD_S:
             announced_at = clock.monotonic()
             for each in announcements:
                 owner.announce(each)
             owner.tick()
-        request = _request(number, draw)
+        request = _acquire_request(number, rng)
         started = time.perf_counter()
         reply = owner.acquire(request)
         acquire_ms.append((time.perf_counter() - started) * 1000)
@@ -135,8 +135,8 @@
             raise AssertionError(f"the pool has room but answered {reply.status} {reply.message}")
         owner.release(messages.ReleaseRequest("m", request.ticket, "prefilled", 0.1))
         held.append(request.ticket)
-        if len(held) > slots * _FILLED:
-            position = draw.randrange(len(held))
+        if len(held) > slots * _USED_SLOT_FRACTION:
+            position = rng.randrange(len(held))
             held[position], held[-1] = held[-1], held[position]
             started = time.perf_counter()
             owner.release(messages.ReleaseRequest("m", held.pop(), "done", tokens=100, decode_s=1.0))
@@ -144,13 +144,13 @@
     return acquire_ms, release_ms or [0.0]
 
 
-def _ticket_bytes(owner: PoolOwner, draw: random.Random) -> float:
+def _measure_ticket_bytes(owner: PoolOwner, rng: random.Random) -> float:
     count = 2000
-    requests = [_request(10**6 + number, draw, 1) for number in range(count)]
+    requests = [_acquire_request(10**6 + number, rng, 1) for number in range(count)]
     for request in requests:
         request.latency_class = "briefing"
         request.deadline_ms = 3_600_000
-    for server in owner.status().servers:  # no server is ready, so that all of them wait
+    for server in owner.status().servers:  # with no server ready, all requests are queued
         server.announcement.state = "draining"
         owner.announce(server.announcement)
     tracemalloc.start()
@@ -163,11 +163,11 @@
 
 
 def main(
-    requests: Annotated[int, typer.Option(help="decisions measured for each size")] = 20_000,
-    seed: Annotated[int, typer.Option(help="seed of the requests and the candidates")] = 1,
-    sizes: Annotated[str, typer.Option(help="numbers of servers, separated by commas")] = "13,130,1400",
+    requests: Annotated[int, typer.Option(help="number of decisions measured for each pool size")] = 20_000,
+    seed: Annotated[int, typer.Option(help="random seed of the requests and of the choice of candidates")] = 1,
+    sizes: Annotated[str, typer.Option(help="comma-separated numbers of servers")] = "13,130,1400",
 ) -> None:
-    """Prints the cost of decisions for several sizes of a pool."""
+    """Prints the cost of decisions for several pool sizes."""
     print("servers  acquire median/99% ms  release ms  announcements/s  tick ms  bytes/server  bytes/ticket")
     for size in sizes.split(","):
         report = measure(int(size), requests, seed)
--- a/libs/arbutusrill_bench/demo.py
+++ b/libs/arbutusrill_bench/demo.py
@@ -1,4 +1,4 @@
-"""Runs a small site and shows what it does. Run as ``python -m arbutusrill_bench.demo``."""
+"""Demonstrates the main features on a small local site. Run as ``python -m arbutusrill_bench.demo``."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 __all__ = ["main"]
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     print(text, flush=True)
 
 
-def _call(
+def _send(
     method: str, address: str, path: str, key: str, body: Any = None, headers: tuple[str, ...] = (), **options: Any
 ):
     lines = [f"Authorization: Bearer {key}", "Content-Type: application/json", *headers]
@@ -32,7 +32,7 @@
     return result
 
 
-def _prepare(site: LocalSite) -> tuple[str, str]:
+def _set_up_site(site: LocalSite) -> tuple[str, str]:
     operators = site.operators
     operators.call("PUT", "/workspaces/dispatch", {"rate": 2000, "burst": 20000})
     issued = operators.call("POST", "/keys", {"workspace": "dispatch"})
@@ -58,32 +58,34 @@
 
 def _show_calls(site: LocalSite, key: str) -> None:
     entries = [member.address for member in site.of_kind("entry")]
-    listed = _expect(_call("GET", entries[0], "/v1/entries", key), 200, "list of entry VMs")
-    _say(f"entry VMs to use: {[row['address'] for row in json.loads(listed.body)['entries']]}")
+    listed = _expect(_send("GET", entries[0], "/v1/entries", key), 200, "list of entry VMs")
+    _print_line(f"entry VMs to use: {[row['address'] for row in json.loads(listed.body)['entries']]}")
     body = {
         "model": "route-writer",
         "stream": True,
         "max_tokens": 16,
         "messages": [{"role": "user", "content": "Summarise route 7 for the driver."}],
     }
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     started = time.monotonic()
-    _expect(_call("POST", entries[0], "/v1/chat/completions", key, body, on_data=pieces.append), 200, "completion")
-    events = [line[6:] for line in b"".join(pieces).decode().split("\n\n") if line.startswith("data: ")]
+    _expect(_send("POST", entries[0], "/v1/chat/completions", key, body, on_data=chunks.append), 200, "completion")
+    events = [line[6:] for line in b"".join(chunks).decode().split("\n\n") if line.startswith("data: ")]
     if events[-1] != "[DONE]":
-        raise SiteError("the stream has no end mark")
+        raise SiteError("the stream ended without [DONE]")
     choices = [choice for event in events[:-1] for choice in json.loads(event)["choices"]]
     text = "".join(choice["delta"].get("content", "") for choice in choices)
-    _say(f"streamed completion through {entries[0]} in {time.monotonic() - started:.2f} s: {text.strip()!r}")
+    _print_line(f"streamed completion through {entries[0]} in {time.monotonic() - started:.2f} s: {text.strip()!r}")
     booking = {"seat": 12, "child": "A. Shrestha"}
-    once = ("Idempotency-Key: booking-12",)
-    first = _expect(_call("POST", entries[1], "/services/seats/bookings", key, booking, once), 201, "booking")
-    again = _expect(_call("POST", entries[2], "/services/seats/bookings", key, booking, once), 201, "resent booking")
-    if json.loads(first.body) != json.loads(again.body):
-        raise SiteError("the resent booking got another answer")
-    _say(f"booking through {entries[1]}: {first.body.decode()}; resent through {entries[2]}: the same answer")
-    lookup = _expect(_call("GET", entries[2], "/services/seats/stops/9", key), 200, "lookup")
-    _say(f"lookup through {entries[2]}: {lookup.body.decode()}")
+    key_header = ("Idempotency-Key: booking-12",)
+    first = _expect(_send("POST", entries[1], "/services/seats/bookings", key, booking, key_header), 201, "booking")
+    resent = _expect(
+        _send("POST", entries[2], "/services/seats/bookings", key, booking, key_header), 201, "resent booking"
+    )
+    if json.loads(first.body) != json.loads(resent.body):
+        raise SiteError("the resent booking got a different response")
+    _print_line(f"booking through {entries[1]}: {first.body.decode()}; resent through {entries[2]}: the same answer")
+    lookup = _expect(_send("GET", entries[2], "/services/seats/stops/9", key), 200, "lookup")
+    _print_line(f"lookup through {entries[2]}: {lookup.body.decode()}")
 
 
 def _show_changes(site: LocalSite, key: str, key_id: str) -> None:
@@ -101,46 +103,46 @@
         },
     )
     force = operators.call("GET", f"/in-force/{exception['revision']}")
-    _say(f"changed a default and added exception {exception['id']}, in force everywhere: {force['in_force']}")
+    _print_line(f"changed a default and added exception {exception['id']}, in force everywhere: {force['in_force']}")
     revision = operators.call("DELETE", f"/keys/{key_id}")["revision"]
     operators.call("GET", f"/in-force/{revision}")
     for member in site.of_kind("entry"):
-        refused = _expect(_call("GET", member.address, "/v1/models", key), 401, "withdrawn key")
-        _say(f"withdrawn key at {member.name}: {json.loads(refused.body)['error']['message']}")
+        refused = _expect(_send("GET", member.address, "/v1/models", key), 401, "withdrawn key")
+        _print_line(f"withdrawn key at {member.name}: {json.loads(refused.body)['error']['message']}")
 
 
-def _keep(site: LocalSite, key: str) -> None:
+def _run_until_interrupted(site: LocalSite, key: str) -> None:
     entry = site.of_kind("entry")[0].address
     control = ",".join(member.address for member in site.of_kind("control"))
-    _say(f"entry VMs:   {', '.join(member.address for member in site.of_kind('entry'))}")
-    _say(f"control VMs: {control}")
-    _say(f"key:         {key}")
-    _say("commands to try:")
-    _say(
+    _print_line(f"entry VMs:   {', '.join(member.address for member in site.of_kind('entry'))}")
+    _print_line(f"control VMs: {control}")
+    _print_line(f"key:         {key}")
+    _print_line("commands to try:")
+    _print_line(
         f"  curl -N http://{entry}/v1/chat/completions -H 'Authorization: Bearer {key}' -d '"
         '{"model": "route-writer", "stream": true, "messages": [{"role": "user", "content": "Hello"}]}\''
     )
-    _say(f"  curl http://{entry}/services/seats/stops/9 -H 'Authorization: Bearer {key}'")
-    _say(f"  ARBUTUSRILL_CONTROL={control} ARBUTUSRILL_TOKEN={site.operator_token} bin/arbutusrill status")
-    _say("Ctrl-C ends the site.")
+    _print_line(f"  curl http://{entry}/services/seats/stops/9 -H 'Authorization: Bearer {key}'")
+    _print_line(f"  ARBUTUSRILL_CONTROL={control} ARBUTUSRILL_TOKEN={site.operator_token} bin/arbutusrill status")
+    _print_line("Ctrl-C ends the site.")
     while True:
         time.sleep(3600)
 
 
-def main(keep: Annotated[bool, typer.Option(help="stay up and print commands to try")] = False) -> None:
-    """Starts three control VMs, three entry VMs and stand-ins, and shows a site at work."""
+def main(keep: Annotated[bool, typer.Option(help="keep the site running and print commands to try")] = False) -> None:
+    """Starts three control VMs, three entry VMs and stand-ins, and demonstrates calls and configuration changes."""
     try:
         with LocalSite() as site:
-            key, key_id = _prepare(site)
+            key, key_id = _set_up_site(site)
             _show_calls(site, key)
             if keep:
-                _keep(site, key)
+                _run_until_interrupted(site, key)
             _show_changes(site, key, key_id)
-        _say("demo finished")
+        _print_line("demo finished")
     except KeyboardInterrupt:
-        _say("stopped")
+        _print_line("stopped")
     except SiteError as error:
-        _say(f"demo failed: {error}")
+        _print_line(f"demo failed: {error}")
         raise SystemExit(1) from None
 
 
--- a/libs/arbutusrill_bench/proof_config.py
+++ b/libs/arbutusrill_bench/proof_config.py
@@ -1,8 +1,9 @@
-"""Randomised proof that accepted changes are in force everywhere within 5 s and that races have one winner.
+"""Randomised fault-injection test of configuration changes: propagation within 5 s, and optimistic concurrency control.
 
-Run as ``bin/proof config --seed N --seconds S``. Pairs of operators change the same default under the same revision
-through different control VMs and resend after lost answers, while one control VM at a time is killed or frozen. The
-configuration revision of eight entry VMs is read all the time.
+Run as ``bin/proof config --seed N --seconds S``. Pairs of operators change the same default, conditional on the same
+revision, through different control VMs and retry when no response arrives; at most one of them may be accepted.
+Meanwhile one control VM at a time is killed or suspended. The configuration revision of eight entry VMs is polled
+throughout.
 """
 
 from __future__ import annotations
@@ -23,20 +24,20 @@
 
 __all__ = ["ConfigProof", "main", "prove"]
 
-BOUND_S = 5.0
-QUANTILE = 0.99
-_DEFAULT = "limits.plain_call_tokens"
-_POLL_S = 0.05
-_RESENDS = 30
-_REVISION = re.compile(rb"^arbutusrill_config_revision ([0-9.e+]+)", re.MULTILINE)
+MAX_DELAY_S = 5.0
+DELAY_QUANTILE = 0.99
+_DEFAULT_NAME = "limits.plain_call_tokens"
+_POLL_PERIOD_S = 0.05
+_MAX_ATTEMPTS = 30
+_REVISION_PATTERN = re.compile(rb"^arbutusrill_config_revision ([0-9.e+]+)", re.MULTILINE)
 
 
 class ConfigProof:
-    """Races operators against each other under faults and follows the revision of every entry VM."""
+    """Sends conflicting changes under faults and polls the configuration revision of every entry VM."""
 
     def __init__(self, site: LocalSite, seed: int):
         self._site = site
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._stopping = threading.Event()
         self._lock = threading.Lock()
         self._accepted_at: dict[int, float] = {}
@@ -47,47 +48,49 @@
         self.problems: list[str] = []
 
     def run(self, seconds: float) -> None:
-        """Runs for `seconds`, waits for the last change to arrive, and judges."""
+        """Runs for `seconds`, waits for the last change to propagate, and checks the delays."""
         with ThreadPoolExecutor(16) as pool:
-            futures = [pool.submit(self._follow, name) for name in self._seen_at]
-            futures.append(pool.submit(self._inject))
+            futures = [pool.submit(self._poll_revision, name) for name in self._seen_at]
+            futures.append(pool.submit(self._inject_faults))
             deadline = time.monotonic() + seconds
             try:
                 while time.monotonic() < deadline:
                     self._race(pool)
-                self._stopping.wait(BOUND_S + 1)
+                self._stopping.wait(MAX_DELAY_S + 1)
             finally:
                 self._stopping.set()
             for future in futures:
                 future.result()
-        self._judge()
+        self._check_delays()
 
     def _race(self, pool: ThreadPoolExecutor) -> None:
-        """Two operators decide on the same revision; exactly one may be accepted."""
+        """Sends two concurrent changes conditional on the same revision; at most one may be accepted."""
         addresses = [member.address for member in self._site.of_kind("control")]
-        first, second = self._chance.sample(addresses, 2)
+        first, second = self._rng.sample(addresses, 2)
         try:
             revision = self._site.operators.call("GET", "/defaults")["revision"]
         except OperatorError:
             return
         number = sum(self.races.values())
-        tries = [
+        attempts = [
             pool.submit(self._change, address, f"race-{number}-{side}", revision, 1 + side + 2 * number)
             for side, address in enumerate((first, second))
         ]
-        won = [result for result in (future.result() for future in tries) if result is not None]
-        self.races[f"{len(won)} accepted"] += 1
-        if len(won) > 1:
-            self._problem(f"race {number}: both operators were accepted under revision {revision}: {won}")
+        accepted_revisions = [result for result in (future.result() for future in attempts) if result is not None]
+        self.races[f"{len(accepted_revisions)} accepted"] += 1
+        if len(accepted_revisions) > 1:
+            self._add_problem(
+                f"race {number}: both operators were accepted under revision {revision}: {accepted_revisions}"
+            )
 
     def _change(self, address: str, request_id: str, revision: int, value: int) -> int | None:
-        """Returns the revision of an accepted change, None for a refused one."""
+        """Sends a change until it is answered; returns its revision, or None if it was rejected or never answered."""
         others = [member.address for member in self._site.of_kind("control") if member.address != address]
         client = OperatorClient([address, *others], self._site.operator_token)
-        for _ in range(_RESENDS):
+        for _ in range(_MAX_ATTEMPTS):
             try:
                 answer = client.call(
-                    "PUT", f"/defaults/{_DEFAULT}", {"value": value}, {"if_revision": revision}, request_id
+                    "PUT", f"/defaults/{_DEFAULT_NAME}", {"value": value}, {"if_revision": revision}, request_id
                 )
             except OperatorError as error:
                 if error.exit_code != EXIT_NO_CONTROL:
@@ -97,71 +100,71 @@
             with self._lock:
                 self._accepted_at.setdefault(answer["revision"], time.monotonic())
             return answer["revision"]
-        self._problem(f"{request_id} got no answer in {_RESENDS} tries")
+        self._add_problem(f"{request_id} got no answer in {_MAX_ATTEMPTS} tries")
         return None
 
-    def _inject(self) -> None:
-        while not self._stopping.wait(self._chance.uniform(1.0, 3.0)):
-            name = self._chance.choice(self._site.of_kind("control")).name
-            action = self._chance.choice(("kill", "freeze"))
+    def _inject_faults(self) -> None:
+        while not self._stopping.wait(self._rng.uniform(1.0, 3.0)):
+            name = self._rng.choice(self._site.of_kind("control")).name
+            action = self._rng.choice(("kill", "freeze"))
             self.faults[action] += 1
             if action == "kill":
                 self._site.kill(name)
-                self._stopping.wait(self._chance.uniform(0.5, 4.0))
+                self._stopping.wait(self._rng.uniform(0.5, 4.0))
                 self._site.start(name)
             else:
                 self._site.freeze(name)
-                self._stopping.wait(self._chance.uniform(0.5, 6.0))
+                self._stopping.wait(self._rng.uniform(0.5, 6.0))
                 self._site.thaw(name)
-            # A replica that comes back catches up before the next fault: three replicas bear one loss at a time.
+            # Lets the replica catch up before the next fault: a group of three tolerates the loss of one at a time.
             self._stopping.wait(3.0)
 
-    def _follow(self, name: str) -> None:
+    def _poll_revision(self, name: str) -> None:
         address = self._site.members_by_name[name].address
         last = 0
-        while not self._stopping.wait(_POLL_S):
+        while not self._stopping.wait(_POLL_PERIOD_S):
             result = fetch(Transfer("GET", f"http://{address}/metrics", timeout_s=2.0))
-            found = _REVISION.search(result.body)
+            found = _REVISION_PATTERN.search(result.body)
             if found is None:
                 continue
             revision = int(float(found[1]))
             if revision < last:
-                self._problem(f"{name} went back from revision {last} to {revision}")
+                self._add_problem(f"{name} went back from revision {last} to {revision}")
             if revision > last:
                 self._seen_at[name].append((time.monotonic(), revision))
             last = max(last, revision)
 
-    def _judge(self) -> None:
+    def _check_delays(self) -> None:
         for revision, accepted in self._accepted_at.items():
             for name, seen in self._seen_at.items():
-                moment = next((at for at, known in seen if known >= revision), None)
-                if moment is None:
-                    self._problem(f"revision {revision} never reached {name}")
+                first_seen_at = next((at for at, known in seen if known >= revision), None)
+                if first_seen_at is None:
+                    self._add_problem(f"revision {revision} never reached {name}")
                 else:
-                    self.delays_s.append(max(0.0, moment - accepted))
-        if self.quantile_s() > BOUND_S:
-            self._problem(f"{QUANTILE:.0%} of the changes were in force after {self.quantile_s():.2f} s")
+                    self.delays_s.append(max(0.0, first_seen_at - accepted))
+        if self.quantile_s() > MAX_DELAY_S:
+            self._add_problem(f"{DELAY_QUANTILE:.0%} of the changes were in force after {self.quantile_s():.2f} s")
 
     def quantile_s(self) -> float:
-        """Returns the time within which `QUANTILE` of the changes were in force on an entry VM, in seconds."""
+        """Returns the `DELAY_QUANTILE` quantile of the propagation delays in seconds; infinity without any."""
         ordered = sorted(self.delays_s) or [float("inf")]
-        return ordered[min(len(ordered) - 1, int(len(ordered) * QUANTILE))]
+        return ordered[min(len(ordered) - 1, int(len(ordered) * DELAY_QUANTILE))]
 
-    def _problem(self, text: str) -> None:
+    def _add_problem(self, text: str) -> None:
         with self._lock:
             self.problems.append(text)
 
 
 def prove(seed: int, seconds: float, entries: int = 8) -> ConfigProof:
-    """Runs the proof on a site of its own and returns it with its counts and problems."""
+    """Runs the test on a new site and returns it with its counts and problems."""
     with LocalSite(entries=entries) as site:
         proof = ConfigProof(site, seed)
         proof.run(seconds)
     return proof
 
 
-def main(seed: int = 1, seconds: Annotated[float, typer.Option(help="length of the run")] = 40.0) -> None:
-    """Runs the proof and exits with 1 when a change was late, lost or reverted, or a race had two winners."""
+def main(seed: int = 1, seconds: Annotated[float, typer.Option(help="length of the run in seconds")] = 40.0) -> None:
+    """Runs the test; exits with status 1 if an invariant was violated or the site failed."""
     try:
         proof = prove(seed, seconds)
     except SiteError as error:
--- a/libs/arbutusrill_bench/proof_drain.py
+++ b/libs/arbutusrill_bench/proof_drain.py
@@ -1,8 +1,8 @@
-"""Proof that a graceful shutdown cuts no request and that callers are sent elsewhere.
+"""Randomised test: a graceful shutdown interrupts no request, and clients are directed to other entry VMs.
 
-Run as ``bin/proof drain --seed N --rounds R``. Callers follow the rules: they ask which entry VMs to use, keep the
-answer for its max-age, and open streams and make bookings through one of them. Meanwhile entry VMs get SIGTERM one
-after the other and are started again.
+Run as ``bin/proof drain --seed N --rounds R``. Clients fetch the list of entry VMs, cache it for its max-age, and open
+streams and make bookings through one of them, as clients are required to. Meanwhile entry VMs are sent SIGTERM one
+after the other and restarted.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 __all__ = ["DrainProof", "main", "prove"]
 
-_MODEL = "route-writer"
-_SERVICE = "seats"
-_CALLERS = 12
-_MAX_AGE_S = 1
-_EXIT_S = 30.0
+_MODEL_NAME = "route-writer"
+_SERVICE_NAME = "seats"
+_CALLER_COUNT = 12
+_ENTRIES_MAX_AGE_S = 1
+_EXIT_TIMEOUT_S = 30.0
 
 
 class DrainProof:
-    """Keeps callers busy while entry VMs are shut down gracefully."""
+    """Sends requests while entry VMs are shut down gracefully."""
 
     def __init__(self, site: LocalSite, key: str, seed: int):
         self._site = site
@@ -43,14 +43,14 @@
         self.problems: list[str] = []
 
     def run(self, rounds: int) -> None:
-        """Shuts down `rounds` entry VMs, one after the other, under load."""
-        chance = random.Random(self._seed)
-        with ThreadPoolExecutor(_CALLERS) as pool:
-            callers = [pool.submit(self._caller, number) for number in range(_CALLERS)]
+        """Shuts down and restarts an entry VM under load, `rounds` times."""
+        rng = random.Random(self._seed)
+        with ThreadPoolExecutor(_CALLER_COUNT) as pool:
+            callers = [pool.submit(self._run_caller, number) for number in range(_CALLER_COUNT)]
             try:
                 for _ in range(rounds):
                     time.sleep(2.0)
-                    self._shut_down(chance.choice(self._site.of_kind("entry")).name)
+                    self._shut_down(rng.choice(self._site.of_kind("entry")).name)
             finally:
                 self._stopping.set()
                 for caller in callers:
@@ -60,34 +60,34 @@
         member = self._site.members_by_name[name]
         self._site.signal(name, signal.SIGTERM)
         try:
-            code = member.process.wait(_EXIT_S)
+            code = member.process.wait(_EXIT_TIMEOUT_S)
         except Exception:
-            self._problem(f"{name} did not exit within {_EXIT_S:g} s")
+            self._add_problem(f"{name} did not exit within {_EXIT_TIMEOUT_S:g} s")
             self._site.kill(name)
         else:
             if code != 0:
-                self._problem(f"{name} exited with {code}")
+                self._add_problem(f"{name} exited with {code}")
         self._site.start(name)
         self._site.wait_entries_ready()
 
-    def _caller(self, number: int) -> None:
-        chance = random.Random(f"{self._seed}/{number}")
+    def _run_caller(self, number: int) -> None:
+        rng = random.Random(f"{self._seed}/{number}")
         addresses: list[str] = []
-        until = 0.0
+        expires_at = 0.0
         count = 0
         while not self._stopping.is_set():
-            if time.monotonic() >= until:
-                addresses, until = self._entries(chance, addresses)
+            if time.monotonic() >= expires_at:
+                addresses, expires_at = self._fetch_entries(rng, addresses)
             count += 1
-            address = chance.choice(addresses)
-            if chance.random() < 0.5:
+            address = rng.choice(addresses)
+            if rng.random() < 0.5:
                 self._check_stream(address)
             else:
                 self._check_booking(address, f"{number}-{count}")
 
-    def _entries(self, chance: random.Random, known: list[str]) -> tuple[list[str], float]:
+    def _fetch_entries(self, rng: random.Random, known: list[str]) -> tuple[list[str], float]:
         candidates = known or [member.address for member in self._site.of_kind("entry")]
-        for address in chance.sample(candidates, len(candidates)):
+        for address in rng.sample(candidates, len(candidates)):
             asked = time.monotonic()
             result = fetch(Transfer("GET", f"http://{address}/v1/entries", timeout_s=2.0))
             if result.whole and result.status == 200:
@@ -98,63 +98,63 @@
         return known, time.monotonic() + 0.1
 
     def _check_stream(self, address: str) -> None:
-        pieces: list[bytes] = []
-        body = {"model": _MODEL, "stream": True, "max_tokens": 100, "prompt": "Summarise the route. " * 20}
-        result = self._send(address, "/v1/completions", body, on_data=pieces.append)
-        text = b"".join(pieces)
+        chunks: list[bytes] = []
+        body = {"model": _MODEL_NAME, "stream": True, "max_tokens": 100, "prompt": "Summarise the route. " * 20}
+        result = self._send(address, "/v1/completions", body, on_data=chunks.append)
+        text = b"".join(chunks)
         if result.whole and text.endswith(b"data: [DONE]\n\n"):
-            self._count("stream")
+            self._count_served("stream")
         else:
-            self._problem(f"stream through {address}: status {result.status} {result.detail} {text[-200:]!r}")
+            self._add_problem(f"stream through {address}: status {result.status} {result.detail} {text[-200:]!r}")
 
     def _check_booking(self, address: str, booking: str) -> None:
         body = {"seat": booking}
-        result = self._send(address, f"/services/{_SERVICE}/bookings", body, (f"Idempotency-Key: {booking}",))
+        result = self._send(address, f"/services/{_SERVICE_NAME}/bookings", body, (f"Idempotency-Key: {booking}",))
         if result.whole and result.status == 201:
-            self._count("booking")
+            self._count_served("booking")
         else:
-            self._problem(f"booking through {address}: status {result.status} {result.detail} {result.body[:200]!r}")
+            self._add_problem(
+                f"booking through {address}: status {result.status} {result.detail} {result.body[:200]!r}"
+            )
 
     def _send(
-        self, address: str, path: str, body: dict[str, Any], more: tuple[str, ...] = (), **options: Any
+        self, address: str, path: str, body: dict[str, Any], extra_headers: tuple[str, ...] = (), **options: Any
     ) -> TransferResult:
-        headers = [f"Authorization: Bearer {self._key}", "Content-Type: application/json", *more]
+        headers = [f"Authorization: Bearer {self._key}", "Content-Type: application/json", *extra_headers]
         url = f"http://{address}{path}"
         return fetch(Transfer("POST", url, headers, json.dumps(body).encode(), timeout_s=20, fresh=True, **options))
 
-    def _count(self, kind: str) -> None:
+    def _count_served(self, kind: str) -> None:
         with self._lock:
             self.served[kind] += 1
 
-    def _problem(self, text: str) -> None:
+    def _add_problem(self, text: str) -> None:
         with self._lock:
             self.problems.append(text)
 
 
 def prove(seed: int, rounds: int) -> DrainProof:
-    """Runs the proof on a site of its own and returns it with its counts and problems."""
+    """Runs the test on a new site and returns it with its counts and problems."""
     with LocalSite() as site:
         operators = site.operators
         operators.call("PUT", "/workspaces/dispatch", {"rate": 1_000_000, "burst": 100_000_000})
-        operators.call("PUT", "/defaults/entries.max_age_s", {"value": _MAX_AGE_S})
+        operators.call("PUT", "/defaults/entries.max_age_s", {"value": _ENTRIES_MAX_AGE_S})
         issued = operators.call("POST", "/keys", {"workspace": "dispatch"})
         routes = [{"method": "POST", "prefix": "/bookings", "repeatable": False}]
-        revision = operators.call("PUT", f"/services/{_SERVICE}", {"routes": routes})["revision"]
+        revision = operators.call("PUT", f"/services/{_SERVICE_NAME}", {"routes": routes})["revision"]
         for number, role in enumerate(("prefill", "decode", "decode")):
-            site.add_engine(f"engine{number}", "--role", role, "--models", _MODEL)
-        site.add_service("seats1", "--service", _SERVICE)
+            site.add_engine(f"engine{number}", "--role", role, "--models", _MODEL_NAME)
+        site.add_service("seats1", "--service", _SERVICE_NAME)
         operators.call("GET", f"/in-force/{revision}")
-        site.wait_for_pool(_MODEL)
-        site.wait_for_pool(_SERVICE)
+        site.wait_for_pool(_MODEL_NAME)
+        site.wait_for_pool(_SERVICE_NAME)
         proof = DrainProof(site, issued["key"], seed)
         proof.run(rounds)
     return proof
 
 
-def main(
-    seed: int = 1, rounds: Annotated[int, typer.Option(help="graceful shutdowns, one after the other")] = 4
-) -> None:
-    """Runs the proof and exits with 1 when a request was cut."""
+def main(seed: int = 1, rounds: Annotated[int, typer.Option(help="number of graceful shutdowns")] = 4) -> None:
+    """Runs the test; exits with status 1 if a request or a shutdown failed, or the site failed."""
     try:
         proof = prove(seed, rounds)
     except SiteError as error:
--- a/libs/arbutusrill_bench/proof_limit.py
+++ b/libs/arbutusrill_bench/proof_limit.py
@@ -1,7 +1,7 @@
-"""Randomised proof that a workspace never gets more than its rate and burst over all entry VMs, in any window.
+"""Randomised fault-injection test: in no time window does a workspace exceed its rate and burst over all entry VMs.
 
-Run as ``bin/proof limit --seed N --seconds S``. Callers flood five entry VMs with calls of one workspace, while control
-VMs, the leader among them, are killed and entry VMs are frozen.
+Run as ``bin/proof limit --seed N --seconds S``. Callers send calls of one workspace to five entry VMs at a high rate,
+while control VMs, including the leader, are killed and entry VMs are suspended.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 __all__ = ["LimitProof", "main", "prove"]
 
-RATE, BURST, COST = 400.0, 800.0, 20.0  # tokens/s, tokens, tokens for each call
-_CALLERS = 15
-_CALL_S = 10.0
-_SERVICE = "seats"
+RATE_TOKENS_PER_S, BURST_TOKENS, CALL_COST_TOKENS = 400.0, 800.0, 20.0
+_CALLER_COUNT = 15
+_CALL_TIMEOUT_S = 10.0
+_SERVICE_NAME = "seats"
 
 
 class LimitProof:
-    """Floods a site and keeps when each admitted call was sent and answered, on the monotonic clock."""
+    """Floods a site with calls and records the monotonic times at which each admitted one was sent and answered."""
 
     def __init__(self, site: LocalSite, key: str, seed: int):
         self._site = site
         self._headers = [f"Authorization: Bearer {key}", "X-Deadline-Ms: 1000"]
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._stopping = threading.Event()
         self._lock = threading.Lock()
         self._admitted: list[tuple[float, float]] = []
@@ -41,56 +41,56 @@
         self.problems: list[str] = []
 
     def run(self, seconds: float) -> None:
-        """Floods the site for `seconds` under faults and checks every window."""
-        with ThreadPoolExecutor(_CALLERS) as pool:
-            callers = [pool.submit(self._flood, number) for number in range(_CALLERS)]
+        """Floods the site for `seconds` under faults, then checks all windows."""
+        with ThreadPoolExecutor(_CALLER_COUNT) as pool:
+            callers = [pool.submit(self._run_caller, number) for number in range(_CALLER_COUNT)]
             deadline = time.monotonic() + seconds
             try:
                 while time.monotonic() < deadline:
-                    time.sleep(self._chance.uniform(1.0, 3.0))
-                    self._fault()
+                    time.sleep(self._rng.uniform(1.0, 3.0))
+                    self._inject_fault()
             finally:
                 self._stopping.set()
             for caller in callers:
                 caller.result()
-        self._check()
+        self._check_windows()
 
-    def _flood(self, number: int) -> None:
+    def _run_caller(self, number: int) -> None:
         entries = self._site.of_kind("entry")
         while not self._stopping.is_set():
             entry = entries[number % len(entries)]
             sent = time.monotonic()
-            url = f"http://{entry.address}/services/{_SERVICE}/stops/1"
-            result = fetch(Transfer("GET", url, self._headers, timeout_s=_CALL_S))
+            url = f"http://{entry.address}/services/{_SERVICE_NAME}/stops/1"
+            result = fetch(Transfer("GET", url, self._headers, timeout_s=_CALL_TIMEOUT_S))
             with self._lock:
                 self.statuses[result.status if result.whole else 0] += 1
                 if result.whole and result.status == 200:
                     self._admitted.append((sent, time.monotonic()))
             time.sleep(0.01)
 
-    def _fault(self) -> None:
-        kind = self._chance.choice(("control", "entry"))
-        name = self._chance.choice(self._site.of_kind(kind)).name
+    def _inject_fault(self) -> None:
+        kind = self._rng.choice(("control", "entry"))
+        name = self._rng.choice(self._site.of_kind(kind)).name
         if kind == "control":
             self.faults["control VM killed"] += 1
             self._site.kill(name)
-            time.sleep(self._chance.uniform(0.5, 2.0))
+            time.sleep(self._rng.uniform(0.5, 2.0))
             self._site.start(name)
-            time.sleep(2.0)  # three replicas bear one loss at a time
+            time.sleep(2.0)  # a group of three replicas tolerates the loss of one at a time
         else:
             self.faults["entry VM frozen"] += 1
             self._site.freeze(name)
-            time.sleep(self._chance.uniform(0.5, 3.0))
+            time.sleep(self._rng.uniform(0.5, 3.0))
             self._site.thaw(name)
 
-    def _check(self) -> None:
-        """Counts, for every moment of sending as the start of a window, what was sent and answered inside it."""
+    def _check_windows(self) -> None:
+        """Checks all windows that start with the sending of a call; a call counts if sent and answered inside."""
         by_answer = sorted(self._admitted, key=lambda call: call[1])
         for start, _ in self._admitted:
             inside = [answered for sent, answered in by_answer if sent >= start]
             for count, end in enumerate(inside, 1):
-                if count * COST > RATE * (end - start) + BURST + 1e-6:
-                    self.problems.append(f"{count * COST:g} tokens in {end - start:.3f} s")
+                if count * CALL_COST_TOKENS > RATE_TOKENS_PER_S * (end - start) + BURST_TOKENS + 1e-6:
+                    self.problems.append(f"{count * CALL_COST_TOKENS:g} tokens in {end - start:.3f} s")
                     return
 
     @property
@@ -100,29 +100,31 @@
 
 
 def prove(seed: int, seconds: float) -> LimitProof:
-    """Runs the proof on a site of its own and returns it with its counts and problems."""
+    """Runs the test on a new site and returns it with its counts and problems."""
     with LocalSite(entries=5) as site:
         operators = site.operators
-        operators.call("PUT", "/defaults/limits.plain_call_tokens", {"value": COST})
-        operators.call("PUT", f"/services/{_SERVICE}", {"routes": [{"method": "*", "prefix": "/", "repeatable": True}]})
-        operators.call("PUT", "/workspaces/flood", {"rate": RATE, "burst": BURST})
+        operators.call("PUT", "/defaults/limits.plain_call_tokens", {"value": CALL_COST_TOKENS})
+        operators.call(
+            "PUT", f"/services/{_SERVICE_NAME}", {"routes": [{"method": "*", "prefix": "/", "repeatable": True}]}
+        )
+        operators.call("PUT", "/workspaces/flood", {"rate": RATE_TOKENS_PER_S, "burst": BURST_TOKENS})
         issued = operators.call("POST", "/keys", {"workspace": "flood"})
-        site.add_service("seats1", "--service", _SERVICE)
+        site.add_service("seats1", "--service", _SERVICE_NAME)
         operators.call("GET", f"/in-force/{issued['revision']}")
-        site.wait_for_pool(_SERVICE)
+        site.wait_for_pool(_SERVICE_NAME)
         proof = LimitProof(site, issued["key"], seed)
         proof.run(seconds)
     return proof
 
 
-def main(seed: int = 1, seconds: Annotated[float, typer.Option(help="length of the run")] = 40.0) -> None:
-    """Runs the proof and exits with 1 when any window held more than the rate and burst."""
+def main(seed: int = 1, seconds: Annotated[float, typer.Option(help="length of the run in seconds")] = 40.0) -> None:
+    """Runs the test; exits with status 1 if a window exceeded the rate and burst, or the site failed."""
     try:
         proof = prove(seed, seconds)
     except SiteError as error:
         print(f"proof not run to its end: {error}")
         raise SystemExit(1) from None
-    share = proof.admitted * COST / (RATE * seconds + BURST)
+    share = proof.admitted * CALL_COST_TOKENS / (RATE_TOKENS_PER_S * seconds + BURST_TOKENS)
     print(
         f"{proof.admitted} calls admitted, {share:.0%} of what the rate and burst allow; faults: {dict(proof.faults)}"
     )
--- a/libs/arbutusrill_bench/proof_once.py
+++ b/libs/arbutusrill_bench/proof_once.py
@@ -1,7 +1,7 @@
-"""Randomised proof that once-only calls run at most once and that verdicts are true.
+"""Randomised fault-injection test: once-only calls run at most once, and the verdicts in error responses are correct.
 
-Run as ``bin/proof once --seed N --seconds S``. Callers book through all entry VMs and resend what failed, while
-entry and control VMs are killed, frozen and restarted and the service cuts and delays its answers.
+Run as ``bin/proof once --seed N --seconds S``. Callers send bookings through all entry VMs and retry failed ones, while
+entry and control VMs are killed, suspended and restarted and the service cuts connections and delays responses.
 """
 
 from __future__ import annotations
@@ -17,135 +17,139 @@
 import typer
 from arbutusrill_http import Transfer, fetch
 
-from ._ledger_service import LedgerService
+from ._counting_service import CountingService
 from ._site import LocalSite, SiteError, free_address
 
 __all__ = ["OnceProof", "main"]
 
-_CALLERS = 8
-_TRIES = 6
-_SETTLE_S = 6.0  # longer than a freeze, so that late sends of frozen VMs are counted too
-_CALL_S = 12.0
-_SERVICE = "seats"
+_CALLER_COUNT = 8
+_MAX_ATTEMPTS = 6
+_SETTLING_TIME_S = 6.0  # longer than VMs are suspended, so that their late sends are counted too
+_CALL_TIMEOUT_S = 12.0
+_SERVICE_NAME = "seats"
 
 
 class OnceProof:
-    """Sends bookings under faults and compares the verdicts with what the service counted."""
+    """Sends bookings under faults and compares the verdicts with the executions counted by the service."""
 
-    def __init__(self, site: LocalSite, ledger: LedgerService, key: str, seed: int):
+    def __init__(self, site: LocalSite, service: CountingService, key: str, seed: int):
         self._site = site
-        self._ledger = ledger
+        self._service = service
         self._key = key
         self._seed = seed
         self._lock = threading.Lock()
         self._stopping = threading.Event()
-        self._denied: list[str] = []
+        self._not_run_ids: list[str] = []
         self.outcomes: Counter[str] = Counter()
         self.faults: Counter[str] = Counter()
         self.problems: list[str] = []
 
     def run(self, seconds: float, faults: bool = True) -> None:
-        """Runs callers and faults for `seconds` and checks the invariants."""
-        with ThreadPoolExecutor(_CALLERS + 1) as pool:
-            futures = [pool.submit(self._caller, number) for number in range(_CALLERS)]
+        """Runs callers and fault injection for `seconds`, then checks the invariants."""
+        with ThreadPoolExecutor(_CALLER_COUNT + 1) as pool:
+            futures = [pool.submit(self._run_caller, number) for number in range(_CALLER_COUNT)]
             if faults:
-                futures.append(pool.submit(self._faults))
+                futures.append(pool.submit(self._inject_faults))
             self._stopping.wait(seconds)
             self._stopping.set()
             for future in futures:
                 future.result()
-        time.sleep(_SETTLE_S if faults else 0.5)
-        self.problems += [f"{call_id} ran {self._ledger.runs(call_id)} times" for call_id in self._ledger.repeated()]
-        self.problems += [f"{call_id} ran after all, every answer said not_run" for call_id in self._denied_runs()]
-
-    def _denied_runs(self) -> list[str]:
-        return [call_id for call_id in self._denied if self._ledger.runs(call_id)]
-
-    def _caller(self, number: int) -> None:
-        chance = random.Random(f"{self._seed}/{number}")
+        time.sleep(_SETTLING_TIME_S if faults else 0.5)
+        self.problems += [
+            f"{call_id} ran {self._service.runs(call_id)} times" for call_id in self._service.repeated_ids()
+        ]
+        self.problems += [
+            f"{call_id} ran after all, every answer said not_run" for call_id in self._falsely_denied_ids()
+        ]
+
+    def _falsely_denied_ids(self) -> list[str]:
+        return [call_id for call_id in self._not_run_ids if self._service.runs(call_id)]
+
+    def _run_caller(self, number: int) -> None:
+        rng = random.Random(f"{self._seed}/{number}")
         count = 0
         while not self._stopping.is_set():
             count += 1
             call_id = f"caller{number}-{count}"
-            keyed = chance.random() < 0.7
-            self._book(call_id, keyed, chance)
+            has_idempotency_key = rng.random() < 0.7
+            self._book(call_id, has_idempotency_key, rng)
 
-    def _book(self, call_id: str, keyed: bool, chance: random.Random) -> None:
+    def _book(self, call_id: str, has_idempotency_key: bool, rng: random.Random) -> None:
         verdicts = set()
-        for _ in range(_TRIES if keyed else 1):
-            verdict = self._send(call_id, keyed, chance)
+        for _ in range(_MAX_ATTEMPTS if has_idempotency_key else 1):
+            verdict = self._send(call_id, has_idempotency_key, rng)
             verdicts.add(verdict)
             if verdict == "answered":
-                if self._ledger.runs(call_id) != 1:
-                    self._problem(f"{call_id} was answered and ran {self._ledger.runs(call_id)} times")
+                if self._service.runs(call_id) != 1:
+                    self._add_problem(f"{call_id} was answered and ran {self._service.runs(call_id)} times")
                 break
-            time.sleep(chance.uniform(0, 0.3))
+            time.sleep(rng.uniform(0, 0.3))
         with self._lock:
             self.outcomes["/".join(sorted(verdicts))] += 1
             if verdicts == {"not_run"}:
-                self._denied.append(call_id)
+                self._not_run_ids.append(call_id)
 
-    def _send(self, call_id: str, keyed: bool, chance: random.Random) -> str:
-        entry = chance.choice(self._site.of_kind("entry"))
+    def _send(self, call_id: str, has_idempotency_key: bool, rng: random.Random) -> str:
+        entry = rng.choice(self._site.of_kind("entry"))
         headers = [f"Authorization: Bearer {self._key}", "Content-Type: application/json"]
-        if keyed:
+        if has_idempotency_key:
             headers.append(f"Idempotency-Key: {call_id}")
         body = json.dumps({"id": call_id}).encode()
-        url = f"http://{entry.address}/services/{_SERVICE}/bookings"
-        result = fetch(Transfer("POST", url, headers, body, timeout_s=_CALL_S, fresh=True))
+        url = f"http://{entry.address}/services/{_SERVICE_NAME}/bookings"
+        result = fetch(Transfer("POST", url, headers, body, timeout_s=_CALL_TIMEOUT_S, fresh=True))
         if not result.whole:
             return "not_run" if result.error == "connect" else "lost"
         if result.status == 201:
             answer = json.loads(result.body)
             if answer["id"] != call_id:
-                self._problem(f"{call_id} got the answer to {answer['id']}")
+                self._add_problem(f"{call_id} got the answer to {answer['id']}")
             return "answered"
         return json.loads(result.body)["error"]["verdict"]
 
-    def _problem(self, text: str) -> None:
+    def _add_problem(self, text: str) -> None:
         with self._lock:
             self.problems.append(text)
 
-    def _faults(self) -> None:
-        chance = random.Random(f"{self._seed}/faults")
-        while not self._stopping.wait(chance.uniform(0.5, 2.0)):
-            kind = chance.choice(("entry", "entry", "control"))
-            name = chance.choice(self._site.of_kind(kind)).name
-            action = chance.choice(("kill", "freeze"))
+    def _inject_faults(self) -> None:
+        rng = random.Random(f"{self._seed}/faults")
+        while not self._stopping.wait(rng.uniform(0.5, 2.0)):
+            kind = rng.choice(("entry", "entry", "control"))
+            name = rng.choice(self._site.of_kind(kind)).name
+            action = rng.choice(("kill", "freeze"))
             self.faults[f"{action} {kind}"] += 1
             if action == "kill":
                 self._site.kill(name)
-                time.sleep(chance.uniform(0.1, 2.0))
+                time.sleep(rng.uniform(0.1, 2.0))
                 self._site.start(name)
             else:
                 self._site.freeze(name)
-                time.sleep(chance.uniform(0.2, 5.0))
+                time.sleep(rng.uniform(0.2, 5.0))
                 self._site.thaw(name)
 
 
 def prove(seed: int, seconds: float, faults: bool = True, entries: int = 3) -> OnceProof:
-    """Runs the proof on a site of its own and returns it with its counts and problems."""
+    """Runs the test on a new site and returns it with its counts and problems."""
     with LocalSite(entries=entries) as site:
         operators = site.operators
         operators.call("PUT", "/workspaces/dispatch", {"rate": 100_000, "burst": 1_000_000})
         key = operators.call("POST", "/keys", {"workspace": "dispatch"})["key"]
         routes = [{"method": "POST", "prefix": "/bookings", "repeatable": False}]
-        revision = operators.call("PUT", f"/services/{_SERVICE}", {"routes": routes})["revision"]
+        revision = operators.call("PUT", f"/services/{_SERVICE_NAME}", {"routes": routes})["revision"]
         weights = (0.85, 0.05, 0.05, 0.05) if faults else (1, 0, 0, 0)
-        ledger = LedgerService(seed, weights)
+        service = CountingService(seed, weights)
         addresses = [member.address for member in site.of_kind("entry")]
-        with ledger.serve(free_address("127.0.0.1"), _SERVICE, addresses, site.announce_token):
+        with service.serve(free_address("127.0.0.1"), _SERVICE_NAME, addresses, site.announce_token):
             operators.call("GET", f"/in-force/{revision}")
-            site.wait_for_pool(_SERVICE)
-            proof = OnceProof(site, ledger, key, seed)
+            site.wait_for_pool(_SERVICE_NAME)
+            proof = OnceProof(site, service, key, seed)
             proof.run(seconds, faults)
-    if any(key in value for headers in ledger.headers_seen for value in headers.values()):
+    if any(key in value for headers in service.headers_seen for value in headers.values()):
         proof.problems.append("the service saw the caller's key")
     return proof
 
 
-def main(seed: int = 1, seconds: Annotated[float, typer.Option(help="length of the run")] = 60.0) -> None:
-    """Runs the proof and exits with 1 when an invariant was broken."""
+def main(seed: int = 1, seconds: Annotated[float, typer.Option(help="length of the run in seconds")] = 60.0) -> None:
+    """Runs the test; exits with status 1 if an invariant was violated or the site failed."""
     try:
         proof = prove(seed, seconds)
     except SiteError as error:
--- a/libs/arbutusrill_bench/proof_raft.py
+++ b/libs/arbutusrill_bench/proof_raft.py
@@ -1,8 +1,8 @@
-"""Randomised proof that no accepted change of the control group is lost, reverted or applied twice.
+"""Randomised fault-injection test: the control group neither loses, reverts nor reapplies an accepted change.
 
-Run as ``bin/proof raft --seed N --seconds S``. Operators change the configuration through three control VMs in
-processes of their own, which are killed, stopped for longer than their leases, and robbed of their disks; a second
-disk is lost right after each repair. The seed fixes the order of faults, not the interleaving of processes.
+Run as ``bin/proof raft --seed N --seconds S``. Operators change the configuration through three control VMs in separate
+processes, which are killed, suspended for longer than their leases, or lose their disks; a second disk is lost right
+after the first is replaced. The seed determines the order of faults, not the interleaving of processes.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 
 __all__ = ["Accepted", "RaftProof", "main", "prove"]
 
-_OPERATORS = 4
-_PAUSE_S = 0.01  # between the changes of one operator
-_PATIENCE_S = 60.0
-_CALL_S = 2.0
+_OPERATOR_COUNT = 4
+_OPERATOR_PAUSE_S = 0.01  # between two changes of one operator
+_WAIT_TIMEOUT_S = 60.0
+_CALL_TIMEOUT_S = 2.0
 
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """A change that an operator was told is accepted; times in seconds on the monotonic clock."""
+    """A change acknowledged to an operator; `started` and `ended` are in seconds of the monotonic clock."""
 
     started: float
     ended: float
@@ -43,7 +43,7 @@
 
 
 class RaftProof:
-    """Sends changes and reads under faults, and checks what the operators were told."""
+    """Sends changes and reads under faults, and checks the acknowledgements against the replicated state."""
 
     def __init__(self, site: LocalSite, seed: int):
         self._site = site
@@ -54,90 +54,86 @@
         self.accepted: list[Accepted] = []
         self.reads = 0
         self.faults: Counter[str] = Counter()
-        self.failovers: list[float] = []  # seconds from the kill of a leader to a change begun after it
+        self.failover_times_s: list[float] = []  # from the kill of a leader until a change sent after it is accepted
         self.problems: list[str] = []
 
     def run(self, seconds: float) -> None:
-        """Runs operators, a reader and faults for `seconds`, then checks the invariants."""
-        with ThreadPoolExecutor(_OPERATORS + 1) as pool:
-            futures = [pool.submit(self._operator, number) for number in range(_OPERATORS)]
-            futures.append(pool.submit(self._reader))
+        """Runs operators, a reader and fault injection for `seconds`, then checks the invariants."""
+        with ThreadPoolExecutor(_OPERATOR_COUNT + 1) as pool:
+            futures = [pool.submit(self._run_operator, number) for number in range(_OPERATOR_COUNT)]
+            futures.append(pool.submit(self._run_reader))
             try:
-                self._inject(seconds)
+                self._inject_faults(seconds)
             finally:
                 self._stopping.set()
             for future in futures:
                 future.result()
-        self._check()
+        self._check_invariants()
 
-    # ---- load
-
-    def _operator(self, number: int) -> None:
-        """Creates one workspace after another; resends a change under its request ID until it is answered."""
+    def _run_operator(self, number: int) -> None:
+        """Creates workspaces one after the other; each change is retried under its request ID until it is answered."""
         count = 0
         with ControlClient([member.rpc for member in self._controls]) as client:
-            while not self._stopping.wait(_PAUSE_S):
+            while not self._stopping.wait(_OPERATOR_PAUSE_S):
                 count += 1
                 name = f"w{number}-{count}"
-                made = command(messages.PutWorkspace(name, 1.0, 1.0), "proof", 0, new_request_id("proof"))
+                proposal = command(messages.PutWorkspace(name, 1.0, 1.0), "proof", 0, new_request_id("proof"))
                 started = time.monotonic()
-                outcome = self._send(client, made)
+                outcome = self._propose(client, proposal)
                 if outcome is None:
                     return
                 if not outcome.accepted:
-                    self._problem(f"{name} was refused: {outcome.code} {outcome.message}")
+                    self._add_problem(f"{name} was refused: {outcome.code} {outcome.message}")
                 with self._lock:
                     self.accepted.append(Accepted(started, time.monotonic(), name, outcome.revision))
 
-    def _send(self, client: ControlClient, made: Any) -> Any | None:
+    def _propose(self, client: ControlClient, proposal: Any) -> Any | None:
         while True:
             try:
-                return client.call("propose", made, timeout=_CALL_S)
+                return client.call("propose", proposal, timeout=_CALL_TIMEOUT_S)
             except ControlUnavailableError:
                 if self._stopping.is_set():
-                    return None  # unknown whether accepted, so nothing was promised
+                    return None  # not acknowledged, so it may be applied or not
 
-    def _reader(self) -> None:
-        """Reads at every control VM; an answer must hold all that was accepted before the read began."""
-        chance = random.Random(self._seed)
+    def _run_reader(self) -> None:
+        """Reads from random control VMs; a response must include all changes accepted before the read started."""
+        rng = random.Random(self._seed)
         clients = [RpcClient(member.rpc) for member in self._controls]
         while not self._stopping.wait(0.02):
             with self._lock:
-                floor = max((change.revision for change in self.accepted), default=0)
+                min_revision = max((change.revision for change in self.accepted), default=0)
             try:
-                reply = read(chance.choice(clients), floor)
+                reply = confirmed_read(rng.choice(clients), min_revision)
             except (RpcError, messages.Refused):
                 continue
             self.reads += 1
-            if reply.confirmed_revision < floor:
-                self._problem(f"a read after revision {floor} was answered at {reply.confirmed_revision}")
+            if reply.confirmed_revision < min_revision:
+                self._add_problem(f"a read after revision {min_revision} was answered at {reply.confirmed_revision}")
         for client in clients:
             client.close()
 
-    def _problem(self, text: str) -> None:
+    def _add_problem(self, text: str) -> None:
         with self._lock:
             self.problems.append(text)
 
-    # ---- faults
-
-    def _inject(self, seconds: float) -> None:
-        """Injects every kind of fault in turn, in an order drawn anew for each round."""
-        chance = random.Random(self._seed)
+    def _inject_faults(self, seconds: float) -> None:
+        """Injects all kinds of faults, in rounds that each shuffle their order."""
+        rng = random.Random(self._seed)
         deadline = time.monotonic() + seconds
         kinds: list[str] = []
         while time.monotonic() < deadline:
-            self._stopping.wait(chance.uniform(0.2, 1.5))
+            self._stopping.wait(rng.uniform(0.2, 1.5))
             if not kinds:
-                kinds = chance.sample(["kill_leader", "stop_leader", "kill_follower", "stop_follower", "lose_disks"], 5)
+                kinds = rng.sample(["kill_leader", "stop_leader", "kill_follower", "stop_follower", "lose_disks"], 5)
             kind = kinds.pop()
             self.faults[kind] += 1
             action, _, target = kind.partition("_")
             leader = self.leader()
-            member = leader if target == "leader" else chance.choice([m for m in self._controls if m is not leader])
-            getattr(self, f"_{action}")(member, chance)
+            member = leader if target == "leader" else rng.choice([m for m in self._controls if m is not leader])
+            getattr(self, f"_{action}")(member, rng)
 
     def leader(self) -> Member:
-        """Waits for a control VM that answers as the leader and returns it."""
+        """Waits until a leader is known and returns it."""
         found: list[Member] = []
 
         def known() -> bool:
@@ -149,39 +145,44 @@
             found.extend(member for member in self._controls if member.rpc == leads)
             return bool(found)
 
-        self._site.wait_until(known, "a control VM leads", _PATIENCE_S)
+        self._site.wait_until(known, "a control VM leads", _WAIT_TIMEOUT_S)
         return found[0]
 
-    def _kill(self, member: Member, chance: random.Random) -> None:
+    def _kill(self, member: Member, rng: random.Random) -> None:
         leads = self.leader() is member
         killed = time.monotonic()
         self._site.kill(member.name)
         if leads:
-            self._site.wait_until(lambda: self._first_since(killed) is not None, "a change is accepted", _PATIENCE_S)
-            self.failovers.append(self._first_since(killed) - killed)
-        self._stopping.wait(chance.uniform(0.0, 2.0))
+            self._site.wait_until(
+                lambda: self._first_accepted_after(killed) is not None, "a change is accepted", _WAIT_TIMEOUT_S
+            )
+            self.failover_times_s.append(self._first_accepted_after(killed) - killed)
+        self._stopping.wait(rng.uniform(0.0, 2.0))
         self._site.start(member.name)
 
-    def _first_since(self, moment: float) -> float | None:
+    def _first_accepted_after(self, moment: float) -> float | None:
         with self._lock:
             return min((change.ended for change in self.accepted if change.started >= moment), default=None)
 
-    def _stop(self, member: Member, chance: random.Random) -> None:
-        """Freezes a process for longer than its leases and an election, then lets it go on."""
+    def _stop(self, member: Member, rng: random.Random) -> None:
+        """Suspends a process for longer than its leases and an election, then resumes it."""
         self._site.freeze(member.name)
-        self._stopping.wait(chance.uniform(1.2, 4.0))
+        self._stopping.wait(rng.uniform(1.2, 4.0))
         self._site.thaw(member.name)
 
-    def _lose(self, member: Member, chance: random.Random) -> None:
-        """Loses and replaces one disk, then at once the disk of another VM, the leader's included."""
+    def _lose(self, member: Member, rng: random.Random) -> None:
+        """Deletes and replaces one disk, then immediately that of another VM, which may be the leader."""
         self.replace_disk(member)
-        self.replace_disk(chance.choice([other for other in self._controls if other is not member]))
+        self.replace_disk(rng.choice([other for other in self._controls if other is not member]))
 
     def replace_disk(self, member: Member) -> float:
-        """Kills a VM, deletes its files, replaces it as an operator does and returns the seconds since its start."""
+        """Kills a VM, deletes its data folder and restarts it as a new replica that replaces the old one.
+
+        Returns the time in seconds from the start of the process until all three replicas are voters.
+        """
         self._site.kill(member.name)
         shutil.rmtree(self._site.folder / member.name)
-        old = next(row["id"] for row in self._rows() if row["address"] == member.rpc)
+        old = next(row["id"] for row in self._replica_rows() if row["address"] == member.rpc)
         started = time.monotonic()
         self._site.start(member.name)
 
@@ -190,50 +191,48 @@
                 self._site.operators.call("POST", "/replicas/replace", {"old": old, "new": member.rpc})
             except OperatorError:
                 return False
-            rows = self._rows()
+            rows = self._replica_rows()
             return old not in [row["id"] for row in rows] and [row["kind"] for row in rows] == ["voter"] * 3
 
-        self._site.wait_until(replaced, f"{member.name} is replaced", _PATIENCE_S)
+        self._site.wait_until(replaced, f"{member.name} is replaced", _WAIT_TIMEOUT_S)
         return time.monotonic() - started
 
-    def _rows(self) -> list[dict[str, Any]]:
+    def _replica_rows(self) -> list[dict[str, Any]]:
         self.leader()
         return self._site.operators.call("GET", "/replicas")["replicas"]
 
-    # ---- checks
-
-    def _check(self) -> None:
-        """Checks the state of each leader while the leadership moves over the control VMs."""
+    def _check_invariants(self) -> None:
+        """Checks the invariants; kills two leaders in turn to check the state of their successors too."""
         for _ in range(2):
-            self._wait_equal()
+            self._wait_until_replicas_agree()
             self._check_state(self.leader())
             member = self.leader()
             self._site.kill(member.name)
             self._check_state(self.leader())
             self._site.start(member.name)
-        self._wait_equal()
+        self._wait_until_replicas_agree()
         self._check_order()
 
-    def _wait_equal(self) -> None:
+    def _wait_until_replicas_agree(self) -> None:
         clients = [RpcClient(member.rpc) for member in self._controls]
 
         def equal() -> bool:
             try:
-                rows = [client.call(messages.Control, "replica_status", timeout=_CALL_S) for client in clients]
+                rows = [client.call(messages.Control, "replica_status", timeout=_CALL_TIMEOUT_S) for client in clients]
             except RpcError:
                 return False
             faults = [row.fault for row in rows if row.fault]
             if faults:
-                raise SiteError(f"a replica has stopped: {faults}")
+                raise SiteError(f"a replica reports a fault: {faults}")
             return len({(row.applied_index, row.revision) for row in rows}) == 1
 
-        self._site.wait_until(equal, "all replicas have applied the same entries", _PATIENCE_S)
+        self._site.wait_until(equal, "all replicas have applied the same entries", _WAIT_TIMEOUT_S)
         for client in clients:
             client.close()
 
     def _check_state(self, leader: Member) -> None:
         with RpcClient(leader.rpc) as client:
-            snapshot = read(client, 1 << 60).snapshot
+            snapshot = confirmed_read(client, 1 << 60).snapshot
         present = {workspace.name for workspace in snapshot.workspaces}
         lost = [change.name for change in self.accepted if change.name not in present]
         if lost:
@@ -256,22 +255,22 @@
                 self.problems.append(f"{change.name} got revision {change.revision}, {latest} was accepted before")
 
 
-def read(client: RpcClient, revision: int) -> Any:
-    """Reads the changes after `revision` from a leader that proves its leadership; a snapshot when it has none."""
+def confirmed_read(client: RpcClient, revision: int) -> Any:
+    """Performs a linearizable read of the changes after `revision`; a snapshot if the leader lacks them."""
     request = messages.FollowRequest("", 0, "", "", "", "live", revision, 0)
-    return client.call(messages.Control, "follow", request, timeout=_CALL_S)
+    return client.call(messages.Control, "follow", request, timeout=_CALL_TIMEOUT_S)
 
 
 def prove(seed: int, seconds: float) -> RaftProof:
-    """Runs the proof on a site of three control VMs and returns it with its counts and problems."""
+    """Runs the test on a new site of three control VMs and returns it with its counts and problems."""
     with LocalSite(controls=3, entries=0) as site:
         proof = RaftProof(site, seed)
         proof.run(seconds)
     return proof
 
 
-def main(seed: int = 1, seconds: Annotated[float, typer.Option(help="length of the run")] = 60.0) -> None:
-    """Runs the proof and exits with 1 when an invariant was broken."""
+def main(seed: int = 1, seconds: Annotated[float, typer.Option(help="length of the run in seconds")] = 60.0) -> None:
+    """Runs the test; exits with status 1 if an invariant was violated or the site failed."""
     try:
         proof = prove(seed, seconds)
     except SiteError as error:
@@ -279,7 +278,7 @@
         raise SystemExit(1) from None
     print(f"seed {seed}, {seconds:g} s: {len(proof.accepted)} changes accepted, {proof.reads} reads")
     print(f"faults: {dict(proof.faults)}")
-    print(f"failover after a leader kill, s: {[round(value, 2) for value in proof.failovers]}")
+    print(f"failover after a leader kill, s: {[round(value, 2) for value in proof.failover_times_s]}")
     for problem in proof.problems:
         print(f"BROKEN: {problem}")
     print("raft: no invariant broken" if not proof.problems else f"raft: {len(proof.problems)} problems")
--- a/libs/arbutusrill_bench/state_cost.py
+++ b/libs/arbutusrill_bench/state_cost.py
@@ -1,7 +1,7 @@
 """Measures the cost of the shared state in one process. Run as ``python -m arbutusrill_bench.state_cost``.
 
-The log is the one of a single replica without a disk, and followers call the service without a network, so that the
-figures are those of the state machine, the grants and the encoding alone.
+The log is that of a single replica without a disk, and followers call the service without a network, so that the
+figures include only the state machine, the grants and the encoding, except for one figure over loopback.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 __all__ = ["main"]
 
-_WORKSPACES = 1100
-_REVISIONS = 10_000
-_KEYS = 2200
-_RUN_S = 1.0
+_WORKSPACE_COUNT = 1100
+_REVISION_COUNT = 10_000
+_KEY_COUNT = 2200
+_MEASUREMENT_S = 1.0
 
 
-def _rate(call: Callable[[int], object], seconds: float = _RUN_S) -> tuple[float, float]:
-    """Returns calls per second and processor time per call in microseconds."""
+def _measure_rate(call: Callable[[int], object], seconds: float = _MEASUREMENT_S) -> tuple[float, float]:
+    """Runs `call` for `seconds`; returns calls per second and processor time per call in microseconds."""
     started, cpu, count = time.monotonic(), time.process_time(), 0
     while time.monotonic() - started < seconds:
         for _ in range(20):
@@ -38,7 +38,7 @@
     return count / (time.monotonic() - started), (time.process_time() - cpu) / count * 1e6
 
 
-def _state(workspaces: int, revisions: int, keys: int = 0) -> SharedState:
+def _build_state(workspaces: int, revisions: int, keys: int = 0) -> SharedState:
     state = SharedState()
     for number in range(workspaces):
         state.apply(encode(command(messages.PutWorkspace(f"workspace-{number}", 200.0, 2000.0), "ops", 1)))
@@ -50,7 +50,7 @@
     return state
 
 
-def _grants() -> None:
+def _print_grant_cost() -> None:
     for items in (1, 10, 100):
         owner = GrantOwner(lambda _: Limits(1e9, 1e9), SystemClock())
         owner.enter_epoch(1)
@@ -59,7 +59,7 @@
             wanted = [messages.GrantItem(f"workspace-{index}", 100.0, 0.0, 50.0) for index in range(items)]
             return owner.grant(messages.GrantRequest(f"vm{number % 8}", 1, wanted, 0, number + 1), 1)
 
-        per_s, cpu = _rate(call)
+        per_s, cpu = _measure_rate(call)
         print(f"grant, {items} workspaces in a request: {per_s:,.0f} calls/s, {cpu:.1f} us of processor time each")
     machine = SharedMachine()
     service = ControlService(LocalLog(machine), machine, SystemClock())
@@ -70,11 +70,11 @@
             item = messages.GrantItem("w", 100.0, 0.0, 50.0)
             return client.call(messages.Control, "grant", messages.GrantRequest("v", 1, [item], 0, number), timeout=5)
 
-        per_s, cpu = _rate(call_rpc)
+        per_s, cpu = _measure_rate(call_rpc)
     print(f"grant over loopback, client and server in one process: {per_s:,.0f} calls/s, {cpu:.0f} us each")
 
 
-def _journal() -> None:
+def _print_journal_cost() -> None:
     state = SharedState()
     state.apply(encode(command(messages.PutVm("vm1", "a", "b", "", 1, "live"), "ops", 1)))
     body = b"x" * 500
@@ -85,11 +85,11 @@
         finish = messages.JournalFinish("workspace-1", f"booking-{number}", 1, "done", 201, "[]", body, f"beg-{number}")
         state.apply(encode(command(finish, "vm1", 1)))
 
-    per_s, cpu = _rate(call)
+    per_s, cpu = _measure_rate(call)
     print(f"journal begin and finish in the state machine: {per_s:,.0f} pairs/s, {cpu:.0f} us each")
 
 
-def _follow(followers: int, seconds: float) -> None:
+def _print_follow_cost(followers: int, seconds: float) -> None:
     machine = SharedMachine()
     service = ControlService(LocalLog(machine), machine, SystemClock())
     service.tick()
@@ -116,15 +116,15 @@
             if changes:
                 service.propose(command(messages.SetDefault("limits.rate", "5.0"), "ops", 1))
             time.sleep(1 / changes if changes else min(0.5, seconds - elapsed))
-        used = (time.process_time() - cpu) / (time.monotonic() - started)
+        cpu_fraction = (time.process_time() - cpu) / (time.monotonic() - started)
         kb = (sum(sent_bytes) - sent) / (time.monotonic() - started) / 1000 / followers
-        print(f"follow, {followers} followers, {changes} changes/s: {used:.1%} of a core, {kb:.2f} kB/s each")
+        print(f"follow, {followers} followers, {changes} changes/s: {cpu_fraction:.1%} of a core, {kb:.2f} kB/s each")
     stopping.set()
     for thread in threads:
         thread.join()
 
 
-def _size_of(build: Callable[[], object]) -> tuple[object, int]:
+def _allocated_bytes(build: Callable[[], object]) -> tuple[object, int]:
     tracemalloc.start()
     made = build()
     size = tracemalloc.get_traced_memory()[0]
@@ -132,11 +132,11 @@
     return made, size
 
 
-def _sizes() -> None:
+def _print_memory_cost() -> None:
     count = 2000
-    _, empty = _size_of(lambda: _state(0, 0))
-    _, workspaces = _size_of(lambda: _state(count, 0))
-    _, keys = _size_of(lambda: _state(1, 0, count))
+    _, empty = _allocated_bytes(lambda: _build_state(0, 0))
+    _, workspaces = _allocated_bytes(lambda: _build_state(count, 0))
+    _, keys = _allocated_bytes(lambda: _build_state(1, 0, count))
     print(f"memory per workspace, with its command and first answer: {(workspaces - empty) / count:,.0f} bytes")
     print(f"memory per key, with its command and first answer: {(keys - empty) / count:,.0f} bytes")
     for body in (0, 500, 65_536):
@@ -150,14 +150,14 @@
                 state.apply(encode(command(finish, "vm1", 1)))
             return state
 
-        state, size = _size_of(build)
+        state, size = _allocated_bytes(build)
         snapshot = len(state.journal.snapshot()) / (count // 4)
         per_entry = (size - empty) / (count // 4)
         print(f"journal entry, body of {body} bytes: {per_entry:,.0f} bytes in memory, {snapshot:,.0f} in a snapshot")
 
 
-def _snapshots() -> None:
-    state = _state(_WORKSPACES, _REVISIONS, _KEYS)
+def _print_snapshot_cost() -> None:
+    state = _build_state(_WORKSPACE_COUNT, _REVISION_COUNT, _KEY_COUNT)
     started = time.perf_counter()
     data = state.snapshot()
     made_s = time.perf_counter() - started
@@ -166,21 +166,24 @@
     other.restore(data)
     restored_s = time.perf_counter() - started
     print(
-        f"{_WORKSPACES} workspaces, {_KEYS} keys, {state.config.revision} revisions: snapshot {len(data):,} bytes, "
-        f"made in {made_s * 1000:.0f} ms, restored in {restored_s * 1000:.0f} ms"
+        f"{_WORKSPACE_COUNT} workspaces, {_KEY_COUNT} keys, {state.config.revision} revisions: snapshot "
+        f"{len(data):,} bytes, made in {made_s * 1000:.0f} ms, restored in {restored_s * 1000:.0f} ms"
     )
     follower = encode(state.config.snapshot(with_first_answers=False))
     print(f"the same for a follower: {len(follower):,} bytes")
 
 
-def main(followers: Annotated[str, typer.Option(help="numbers of followers")] = "8,64,400", seconds: float = 5) -> None:
-    """Prints the figures, one line each."""
-    _grants()
-    _journal()
-    _sizes()
-    _snapshots()
+def main(
+    followers: Annotated[str, typer.Option(help="comma-separated numbers of followers")] = "8,64,400",
+    seconds: float = 5,
+) -> None:
+    """Runs all measurements and prints one line for each figure."""
+    _print_grant_cost()
+    _print_journal_cost()
+    _print_memory_cost()
+    _print_snapshot_cost()
     for count in followers.split(","):
-        _follow(int(count), seconds)
+        _print_follow_cost(int(count), seconds)
 
 
 if __name__ == "__main__":
--- a/libs/arbutusrill_bench/tests/test_bench.py
+++ b/libs/arbutusrill_bench/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""Guards against a bench whose report is incomplete or contradicts itself; judges no figure."""
+"""Checks that benchmark reports are complete and consistent; makes no claims about performance."""
 
 import json
 
@@ -33,7 +33,7 @@
 
 
 def test_scenarios_name_members_that_exist():
-    """An event on a member that is not there would make a fault scenario a run without fault."""
+    """An event for a member that does not exist would turn a fault scenario into a run without faults."""
     for scenario in SCENARIOS:
         engines = {role: sum(runner.role == role for runner in scenario.runners) for role in ("prefill", "decode")}
         known = {f"engine-{role[0]}{number + 1}" for role, count in engines.items() for number in range(count)}
@@ -42,7 +42,7 @@
 
 
 def test_comparison_with_a_disturbed_run_is_marked():
-    """Seen: goodput of 6% at a load average of 42 on 10 processors, where the machine and not the policy was late."""
+    """On an overloaded machine (load average 42 on 10 processors) goodput fell to 6% regardless of the policy."""
     runs = [Run("steady", policy, 1, 9.0, 1.0) for policy in ("round_robin", "reserving")]
     report = Report("c", 1, 9.0, 1.0, "now", runs)
     assert not any("not valid" in line for line in table_lines(report))
--- a/libs/arbutusrill_bench/tests/test_capacity.py
+++ b/libs/arbutusrill_bench/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Guards the instruments of the capacity measurements; judges no figure."""
+"""Tests of the measuring tools of the capacity benchmark; makes no claims about performance."""
 
 import socket
 import threading
@@ -8,7 +8,7 @@
 
 
 def test_tap_relays_and_counts_both_ways():
-    """A relay that loses bytes or counts only one way would give a wrong rate of control traffic."""
+    """A relay that lost bytes or counted only one direction would report a wrong rate of control traffic."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve():
--- a/libs/arbutusrill_bench/tests/test_demo.py
+++ b/libs/arbutusrill_bench/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""Guards against a demo that fails or leaves processes behind."""
+"""Checks that the demo succeeds and leaves no processes running."""
 
 import os
 import subprocess
--- a/libs/arbutusrill_bench/tests/test_measures.py
+++ b/libs/arbutusrill_bench/tests/test_measures.py
@@ -1,4 +1,4 @@
-"""Tests of what the bench's figures mean."""
+"""Tests of load generation and of the measures computed from outcomes."""
 
 from dataclasses import replace
 
@@ -7,21 +7,23 @@
 from arbutusrill_bench._load import Outcome
 from arbutusrill_bench._measures import Targets, category, excess_tokens, inside_rate, measure
 from arbutusrill_bench._scenarios import SCENARIOS
-from arbutusrill_bench._workload import ClassMix, Planned, Span, Workload, WorkspaceLoad, plan, prompt_text
-from arbutusrill_bench.bench import _AFTER_S
+from arbutusrill_bench._workload import ClassMix, PlannedRequest, Span, Workload, WorkspaceLoad, plan, prompt_text
+from arbutusrill_bench.bench import _COOL_DOWN_S
 
 LOAD = Workload(
     20.0,
     (ClassMix("interactive", 1.0, 100, 400, 20, 5.0),),
     (WorkspaceLoad("a", 0.5), WorkspaceLoad("b", 0.5)),
-    leaving_part=0.1,
+    leaving_fraction=0.1,
 )
 SPAN = Span(1.0, 3.0, 1.0)
 GOOD = Outcome(0, status=200, first_s=0.5, end_s=1.0, gaps_ms=[25.0] * 19, tokens=20, whole=True)
 
 
 def request(**changes):
-    return Planned(**{"number": 0, "at": 0.0, "kind": "completion", "workspace": "a", "latency_class": "x", **changes})
+    return PlannedRequest(
+        **{"number": 0, "at": 0.0, "kind": "completion", "workspace": "a", "latency_class": "x", **changes}
+    )
 
 
 def test_same_seed_gives_the_same_plan_and_prompts():
@@ -31,7 +33,7 @@
 
 
 def test_more_load_of_one_workspace_leaves_the_requests_of_others():
-    """Otherwise a change for the others could come from another load instead of from the greedy workspace."""
+    """Otherwise a change for other workspaces could be an effect of their own changed load."""
     greedy = replace(LOAD, workspaces=(WorkspaceLoad("a", 0.5, 5.0), WorkspaceLoad("b", 0.5)))
     arrivals = [[row.at for row in plan(load, SPAN, 1) if row.workspace == "b"] for load in (LOAD, greedy)]
     assert arrivals[0] == arrivals[1]
@@ -61,7 +63,7 @@
 
 
 def test_deadline_replaces_the_target_of_the_first_token():
-    """A briefing may start late but must be whole before departure."""
+    """A class with a deadline may start late but must be complete before the deadline."""
     briefing = request(deadline_s=30.0)
     assert category(briefing, replace(GOOD, first_s=20.0, end_s=25.0), Targets()) == "good"
     assert category(briefing, replace(GOOD, end_s=31.0), Targets()) == "late"
@@ -75,20 +77,20 @@
 
 
 def test_excess_counts_only_what_is_certain():
-    """An answer that may have been admitted before the window must not be held against the limit."""
+    """A request that may have been admitted before the window does not count as exceeding the limit."""
     assert excess_tokens([(0.0, 1.0, 600), (0.0, 1.0, 600)], rate=100, burst=1000) == 100
     assert excess_tokens([(0.0, 5.0, 600), (4.0, 5.0, 600)], rate=100, burst=1000) == 0
 
 
 def test_requests_without_outcome_are_counted():
-    """A load process that loses requests must not raise the share of good ones."""
+    """A load process that loses requests must not raise the goodput share."""
     requests = plan(LOAD, SPAN, 1)
     result = measure(LOAD, requests, {}, Targets(), SPAN)
     assert result.offered > 0 and result.category_counts == {"no_outcome": result.offered}
 
 
 def test_scenario_limits_leave_room_for_the_largest_request():
-    """A request above the burst can never be admitted and would count as a false rejection."""
+    """A request larger than the burst can never be admitted and would count as a false rejection."""
     for scenario in SCENARIOS:
         for workspace in scenario.load.workspaces:
             _, burst = scenario.load.limit(workspace)
@@ -96,18 +98,18 @@
 
 
 def test_load_goes_on_after_the_measured_time_until_the_last_deadline():
-    """Seen: at 1.5 times the load, 100% good, because briefings were put off to the idle end of the run."""
+    """When the load ended with the measurement, briefings were deferred past it: 100% goodput at 1.5 times the load."""
     peak = next(scenario for scenario in SCENARIOS if scenario.name == "peak").load
-    span = Span(2.0, 9.0, _AFTER_S)
+    span = Span(2.0, 9.0, _COOL_DOWN_S)
     rows = [row for row in plan(peak, span, 1) if row.kind == "completion"]
     count_after = sum(row.at >= span.end for row in rows)
-    count_before = sum(span.measures(row.at) for row in rows)
-    assert max(mix.deadline_s for mix in peak.classes) <= span.after
-    assert count_after / span.after > 0.8 * count_before / span.measured
+    count_before = sum(span.is_measured(row.at) for row in rows)
+    assert max(mix.deadline_s for mix in peak.classes) <= span.cool_down
+    assert count_after / span.cool_down > 0.8 * count_before / span.measured
 
 
 def test_peak_asks_for_more_than_the_decode_runners_can_make():
-    """A peak that fits into the runners tells nothing about what a policy does with too much work."""
+    """A peak within the capacity of the runners would not test how a policy handles overload."""
     by_name = {scenario.name: scenario for scenario in SCENARIOS}
     demand = {}
     for name in ("steady", "peak"):
@@ -115,6 +117,6 @@
         made = sum(
             20 * runner.speed / (0.014 * (1 + 0.045 * 19)) for runner in scenario.runners if runner.role == "decode"
         )
-        rows = [row for row in plan(scenario.load, span, 1) if row.kind == "completion" and span.measures(row.at)]
+        rows = [row for row in plan(scenario.load, span, 1) if row.kind == "completion" and span.is_measured(row.at)]
         demand[name] = sum(row.output_tokens for row in rows) / span.measured / made
     assert 0.8 < demand["steady"] < 1 < 1.2 < demand["peak"]
--- a/libs/arbutusrill_bench/tests/test_openai_client.py
+++ b/libs/arbutusrill_bench/tests/test_openai_client.py
@@ -1,4 +1,4 @@
-"""Guards against differences from OpenAI's published interface that its official client would meet."""
+"""Tests compatibility of the HTTP interface with OpenAI's official Python client."""
 
 import openai
 import pytest
--- a/libs/arbutusrill_bench/tests/test_proof_config.py
+++ b/libs/arbutusrill_bench/tests/test_proof_config.py
@@ -1,4 +1,4 @@
-"""Guards against changes that are lost, late or reverted, and against races with two winners."""
+"""Guards against changes that are lost, late or reverted, and against accepting both of two conflicting changes."""
 
 from arbutusrill_bench.proof_config import prove
 
--- a/libs/arbutusrill_bench/tests/test_proof_gone.py
+++ b/libs/arbutusrill_bench/tests/test_proof_gone.py
@@ -1,12 +1,12 @@
-"""Guards against engine slots that stay held after their callers have left or their entry VM has died."""
+"""Guards against engine slots that are never freed after the client has disconnected or its entry VM has failed."""
 
 from arbutusrill_bench.proof_gone import prove
 
-# Five times the stated bound: this test looks for slots that are never freed, and must pass on a busy machine too.
-# bin/proof gone measures the bound itself.
-GENEROUS_S = 10.0
+# Five times the specified bound, so that only slots that are never freed fail this test, also on a busy machine.
+# `bin/proof gone` checks the bound itself.
+MAX_RELEASE_S = 10.0
 
 
 def test_slots_are_freed_when_callers_leave_or_an_entry_vm_dies():
-    proof = prove(seed=5, rounds=2, actions=("leave", "kill"), bound_s=GENEROUS_S)
+    proof = prove(seed=5, rounds=2, actions=("leave", "kill"), max_release_s=MAX_RELEASE_S)
     assert proof.problems == []
--- a/libs/arbutusrill_bench/tests/test_proof_once.py
+++ b/libs/arbutusrill_bench/tests/test_proof_once.py
@@ -1,4 +1,4 @@
-"""Guards against once-only calls that run twice or never, on a site without faults."""
+"""Guards against once-only calls that run twice or not at all, on a site without faults."""
 
 from arbutusrill_bench.proof_once import prove
 
--- a/libs/arbutusrill_bench/tests/test_proof_raft.py
+++ b/libs/arbutusrill_bench/tests/test_proof_raft.py
@@ -1,4 +1,4 @@
-"""Guards against a proof of the control group that overlooks lost or reverted changes."""
+"""Runs the fault-injection test of the control group briefly, and checks that it detects lost or reverted changes."""
 
 from arbutusrill_bench import LocalSite
 from arbutusrill_bench.proof_raft import Accepted, RaftProof, prove
--- a/libs/arbutusrill_bench/tests/test_rate.py
+++ b/libs/arbutusrill_bench/tests/test_rate.py
@@ -1,4 +1,4 @@
-"""Guards, over real processes, against a rate that is multiplied by the number of entry VMs."""
+"""Guards against a rate limit that applies per entry VM instead of to the whole site, with real processes."""
 
 import threading
 import time
--- a/libs/arbutusrill_bench/tests/test_site.py
+++ b/libs/arbutusrill_bench/tests/test_site.py
@@ -1,4 +1,4 @@
-"""Tests of what proofs and scenarios do to the members of a site."""
+"""Tests of the operations on site members that fault injection relies on."""
 
 import types
 from functools import partial
@@ -50,7 +50,7 @@
 
 
 class SlowOperators:
-    """A control VM at which the pool has its owner at once, and an entry VM that applies revision 7 late."""
+    """Stub of `OperatorClient`: the pool has an owner, but revision 7 is in force only after `behind` more calls."""
 
     def __init__(self, behind):
         self.behind = behind
