--- a/libs/arbutusrill_bench/_measures.py
+++ b/libs/arbutusrill_bench/_measures.py
@@ -86,14 +86,14 @@
     inside: set[int] = set()
     for workspace in load.workspaces:
         rate, burst = load.limit(workspace)
-        level, last = burst, 0.0
+        available_tokens, previous_at = burst, 0.0
         for request in requests:
             if request.workspace != workspace.name or request.kind != "completion":
                 continue
-            level = min(burst, level + rate * (request.at - last))
-            last = request.at
-            if request.charge <= level:
-                level -= request.charge
+            available_tokens = min(burst, available_tokens + rate * (request.at - previous_at))
+            previous_at = request.at
+            if request.charge <= available_tokens:
+                available_tokens -= request.charge
                 inside.add(request.number)
     return inside
 
@@ -108,15 +108,15 @@
     >>> excess_tokens([(0.0, 0.1, 500), (0.2, 0.4, 800)], rate=100, burst=1000)
     260.0
     """
-    worst = 0.0
-    by_first = sorted(admitted, key=lambda row: row[1])
+    max_excess = 0.0
+    by_first_token_time = sorted(admitted, key=lambda row: row[1])
     for start in {row[0] for row in admitted}:
         total = 0
-        for sent, first, charge in by_first:
+        for sent, first, charge in by_first_token_time:
             if sent >= start:
                 total += charge
-                worst = max(worst, total - burst - rate * (first - start))
-    return round(worst, 6)
+                max_excess = max(max_excess, total - burst - rate * (first - start))
+    return round(max_excess, 6)
 
 
 def quantiles_ms(values_ms: list[float]) -> dict[str, float]:
@@ -145,8 +145,8 @@
     result.offered = len(completions)
     result.category_counts = dict(Counter(category_by_number.values()))
     for name in {row.latency_class for row in completions}:
-        mine = [category_by_number[row.number] for row in completions if row.latency_class == name]
-        result.category_counts_by_class[name] = dict(Counter(mine))
+        categories = [category_by_number[row.number] for row in completions if row.latency_class == name]
+        result.category_counts_by_class[name] = dict(Counter(categories))
     result.code_counts = dict(Counter(row.code or row.error for row in outcomes if row.code or row.error))
     result.good = result.category_counts.get("good", 0)
     result.goodput_share = result.good / max(1, result.offered)
@@ -179,12 +179,12 @@
 ) -> None:
     """Sets the goodput share of each workspace, over requests within its rate whose caller did not plan to leave."""
     for workspace in load.workspaces:
-        mine = [
+        completions_in_rate = [
             row for row in completions if row.workspace == workspace.name and row.number in inside and not row.leave_s
         ]
-        if mine:
-            good = sum(category_by_number[row.number] == "good" for row in mine)
-            result.goodput_share_by_workspace[workspace.name] = good / len(mine)
+        if completions_in_rate:
+            good = sum(category_by_number[row.number] == "good" for row in completions_in_rate)
+            result.goodput_share_by_workspace[workspace.name] = good / len(completions_in_rate)
     within = [workspace.name for workspace in load.workspaces if workspace.factor <= 1]
     shares = [share for name, share in result.goodput_share_by_workspace.items() if name in within]
     if shares:
--- a/libs/arbutusrill_bench/_runs.py
+++ b/libs/arbutusrill_bench/_runs.py
@@ -115,7 +115,7 @@
 
     def drive(self) -> None:
         """Configures the site, sends the load and computes the measures."""
-        self._prepare()
+        self._configure_site()
         options = self._options
         requests = plan(self._load, options.span, options.seed)
         jobs, processes = self._start_load(requests)
@@ -133,7 +133,7 @@
         self._run.measures = measure(self._load, requests, outcome_by_number, self._targets, options.span)
         self._aggregate_counters()
 
-    def _prepare(self) -> None:
+    def _configure_site(self) -> None:
         operators = self._site.operators
         for name, value in (
             ("policy.name", self._policy),
@@ -234,7 +234,7 @@
         if event.action == "kill":
             self._site.kill(name)
         elif event.action == "freeze":
-            self._site.freeze(name)
+            self._site.suspend(name)
         else:
             body: dict[str, Any] = {"kind": event.action, **dict(event.options)}
             if "part" in body:
@@ -242,7 +242,7 @@
             url = f"http://{self._site.members_by_name[name].address}/stand-in/fault"
             result = fetch(Transfer("POST", url, [], json.dumps(body).encode(), timeout_s=3.0))
             if result.status != 200:
-                raise SiteError(f"{name} rejected the fault {event.action!r}: status {result.status}")
+                raise SiteError(f"{name} rejected the fault {event.action}")
 
     def _leader_name(self) -> str:
         leader = self._site.operators.call("GET", "/status")["replica"].get("leader", "")
--- a/libs/arbutusrill_bench/_site.py
+++ b/libs/arbutusrill_bench/_site.py
@@ -172,11 +172,11 @@
         for name in self.members_by_name:
             self.kill(name)
 
-    def freeze(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         """Suspends a member with SIGSTOP: it stops responding while its connections stay open."""
         self.signal(name, signal.SIGSTOP)
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Resumes a suspended member with SIGCONT."""
         self.signal(name, signal.SIGCONT)
 
@@ -221,12 +221,12 @@
     def wait_for_pool(self, name: str) -> None:
         """Waits until a pool has an owner and every entry VM has applied the revision at which this was observed."""
 
-        def known() -> bool:
+        def owner_is_known() -> bool:
             status = self.operators.call("GET", "/status")
             owned = any(pool["name"] == name and pool["owner"] for pool in status["pools"])
             return owned and self.operators.call("GET", f"/in-force/{status['revision']}")["in_force"]
 
-        self.wait_until(known, f"every entry VM knows the owner of pool {name}")
+        self.wait_until(owner_is_known, f"every entry VM knows the owner of pool {name}")
 
 
 def _returns_200(url: str) -> bool:
--- a/libs/arbutusrill_bench/_usage.py
+++ b/libs/arbutusrill_bench/_usage.py
@@ -60,10 +60,10 @@
 def usage_over(members: list[Member], seconds: float) -> dict[str, Usage]:
     """Measures the usage of running members over the next `seconds`; returns it by member name."""
     before = {member.name: _cpu_s(member.process.pid) for member in members}
-    began = time.monotonic()
+    started = time.monotonic()
     time.sleep(seconds)
-    passed = time.monotonic() - began
+    elapsed_s = time.monotonic() - started
     return {
-        member.name: Usage((_cpu_s(member.process.pid) - before[member.name]) / passed, _rss_mb(member.process.pid))
+        member.name: Usage((_cpu_s(member.process.pid) - before[member.name]) / elapsed_s, _rss_mb(member.process.pid))
         for member in members
     }
--- a/libs/arbutusrill_bench/bench.py
+++ b/libs/arbutusrill_bench/bench.py
@@ -21,13 +21,13 @@
 
 
 def _select_scenarios(names: list[str], full: bool) -> list[Scenario]:
-    known = {scenario.name: scenario for scenario in SCENARIOS}
+    scenario_by_name = {scenario.name: scenario for scenario in SCENARIOS}
     if not names:
-        names = [name for name in known if name != "smoke"] if full else list(QUICK_SCENARIOS)
+        names = [name for name in scenario_by_name if name != "smoke"] if full else list(QUICK_SCENARIOS)
     for name in names:
-        if name not in known:
-            raise typer.BadParameter(f"unknown scenario {name!r}; known are {', '.join(known)}")
-    return [known[name] for name in names]
+        if name not in scenario_by_name:
+            raise typer.BadParameter(f"unknown scenario {name!r}; known are {', '.join(scenario_by_name)}")
+    return [scenario_by_name[name] for name in names]
 
 
 def main(
--- a/libs/arbutusrill_bench/capacity.py
+++ b/libs/arbutusrill_bench/capacity.py
@@ -67,7 +67,7 @@
 
 
 @contextmanager
-def _site(entries: int, controls: int = 1) -> Iterator[tuple[LocalSite, Tap]]:
+def _run_site(entries: int, controls: int = 1) -> Iterator[tuple[LocalSite, Tap]]:
     """Starts a site; with one control VM, entry VMs connect to it through a relay that counts bytes."""
     with ExitStack() as stack:
         site = LocalSite(controls=controls, entries=entries)
@@ -88,7 +88,7 @@
         ["entries", "core/entry", "MB/entry", "B/s to control", "B/s from control", "core control", "MB control"],
     )
     for count in counts:
-        with _site(count) as (site, tap):
+        with _run_site(count) as (site, tap):
             time.sleep(_SETTLING_TIME_S)
             sent, received = tap.to_target, tap.from_target
             usage_by_member = usage_over([*site.of_kind("entry"), *site.of_kind("control")], window_s)
@@ -115,7 +115,7 @@
         ["entries", "core leader", "MB leader", "core follower", "MB follower"],
     )
     for count in counts:
-        with _site(count, controls=3) as (site, _):
+        with _run_site(count, controls=3) as (site, _):
             time.sleep(_SETTLING_TIME_S)
             usage_by_member = usage_over(site.of_kind("control"), window_s)
             leader, *followers = sorted(usage_by_member.values(), key=lambda usage: -usage.core)
@@ -130,7 +130,7 @@
         "workspaces known, one key each, four entry VMs",
         ["workspaces", "core/entry", "MB/entry", "core control", "MB control", "follow B/s/entry"],
     )
-    with _site(4) as (site, tap):
+    with _run_site(4) as (site, tap):
         existing_count = 0
         for count in counts:
             with ThreadPoolExecutor(8) as executor:
@@ -179,11 +179,11 @@
 def _mean_cpu_ms(function: Callable[[], object], seconds: float = 0.5) -> float:
     """Returns the mean processor time per call in milliseconds, over at least 3 calls and `seconds`."""
     calls = 0
-    began = time.process_time()
-    while calls < 3 or time.process_time() - began < seconds:
+    started = time.process_time()
+    while calls < 3 or time.process_time() - started < seconds:
         function()
         calls += 1
-    return (time.process_time() - began) * 1000 / calls
+    return (time.process_time() - started) * 1000 / calls
 
 
 def runners_series(counts: list[int], window_s: float) -> Table:
@@ -196,14 +196,14 @@
         "runners of one pool announced every 0.5 s to four entry VMs",
         ["runners", "core owner", "MB owner", "core/receiver", "announcements/s", "failed"],
     )
-    with _site(4) as (site, _):
+    with _run_site(4) as (site, _):
         for count in counts:
             period = _ANNOUNCEMENT_PERIOD_S * max(1.0, count / 400)
             with _AnnouncementSender(site, count, period) as sender:
                 time.sleep(_SETTLING_TIME_S + period)
-                sent, failed, began = sender.sent, sender.failed, time.monotonic()
+                sent, failed, started = sender.sent, sender.failed, time.monotonic()
                 usage_by_member = usage_over(site.of_kind("entry"), window_s)
-                elapsed_s = time.monotonic() - began
+                elapsed_s = time.monotonic() - started
                 rate = (sender.sent - sent) / elapsed_s
                 owner = _pool_owner(site)
                 others = [usage for name, usage in usage_by_member.items() if name != owner]
@@ -286,10 +286,10 @@
     state, applied, apply_s = SharedState(), 0, 0.0
     for count in counts:
         commands = [encode(_change_command(number)) for number in range(applied, count)]
-        began = time.process_time()
+        started = time.process_time()
         for data in commands:
             state.apply(data)
-        apply_s += time.process_time() - began
+        apply_s += time.process_time() - started
         applied = count
         data = state.snapshot()
         encode_ms = _mean_cpu_ms(state.snapshot)
@@ -317,18 +317,18 @@
         "changes over HTTP at a real site, then an entry VM started anew",
         ["revisions", "changes/s", "s until ready"],
     )
-    with _site(2) as (site, _):
-        made = 0
+    with _run_site(2) as (site, _):
+        change_count = 0
         for count in counts:
-            began = time.monotonic()
+            started = time.monotonic()
             with ThreadPoolExecutor(8) as executor:
-                list(executor.map(lambda number: _put_workspace(site, number), range(made, count)))
-            rate = (count - made) / (time.monotonic() - began)
-            made = count
+                list(executor.map(lambda number: _put_workspace(site, number), range(change_count, count)))
+            rate = (count - change_count) / (time.monotonic() - started)
+            change_count = count
             site.restart("entry2")
-            began = time.monotonic()
+            started = time.monotonic()
             site.wait_entries_ready()
-            table.rows.append([count, rate, time.monotonic() - began])
+            table.rows.append([count, rate, time.monotonic() - started])
     return table
 
 
--- a/libs/arbutusrill_bench/proof_config.py
+++ b/libs/arbutusrill_bench/proof_config.py
@@ -55,7 +55,7 @@
             deadline = time.monotonic() + seconds
             try:
                 while time.monotonic() < deadline:
-                    self._race(pool)
+                    self._run_race(pool)
                 self._stopping.wait(MAX_DELAY_S + 1)
             finally:
                 self._stopping.set()
@@ -63,7 +63,7 @@
                 future.result()
         self._check_delays()
 
-    def _race(self, pool: ThreadPoolExecutor) -> None:
+    def _run_race(self, pool: ThreadPoolExecutor) -> None:
         """Sends two concurrent changes conditional on the same revision; at most one may be accepted."""
         addresses = [member.address for member in self._site.of_kind("control")]
         first, second = self._rng.sample(addresses, 2)
@@ -113,26 +113,26 @@
                 self._stopping.wait(self._rng.uniform(0.5, 4.0))
                 self._site.start(name)
             else:
-                self._site.freeze(name)
+                self._site.suspend(name)
                 self._stopping.wait(self._rng.uniform(0.5, 6.0))
-                self._site.thaw(name)
+                self._site.resume(name)
             # Lets the replica catch up before the next fault: a group of three tolerates the loss of one at a time.
             self._stopping.wait(3.0)
 
     def _poll_revision(self, name: str) -> None:
         address = self._site.members_by_name[name].address
-        last = 0
+        last_revision = 0
         while not self._stopping.wait(_POLL_PERIOD_S):
             result = fetch(Transfer("GET", f"http://{address}/metrics", timeout_s=2.0))
             found = _REVISION_PATTERN.search(result.body)
             if found is None:
                 continue
             revision = int(float(found[1]))
-            if revision < last:
-                self._add_problem(f"{name} went back from revision {last} to {revision}")
-            if revision > last:
+            if revision < last_revision:
+                self._add_problem(f"{name} went back from revision {last_revision} to {revision}")
+            if revision > last_revision:
                 self._seen_at[name].append((time.monotonic(), revision))
-            last = max(last, revision)
+            last_revision = max(last_revision, revision)
 
     def _check_delays(self) -> None:
         for revision, accepted in self._accepted_at.items():
--- a/libs/arbutusrill_bench/proof_drain.py
+++ b/libs/arbutusrill_bench/proof_drain.py
@@ -85,17 +85,17 @@
             else:
                 self._check_booking(address, f"{number}-{count}")
 
-    def _fetch_entries(self, rng: random.Random, known: list[str]) -> tuple[list[str], float]:
-        candidates = known or [member.address for member in self._site.of_kind("entry")]
+    def _fetch_entries(self, rng: random.Random, previous_addresses: list[str]) -> tuple[list[str], float]:
+        candidates = previous_addresses or [member.address for member in self._site.of_kind("entry")]
         for address in rng.sample(candidates, len(candidates)):
-            asked = time.monotonic()
+            requested_at = time.monotonic()
             result = fetch(Transfer("GET", f"http://{address}/v1/entries", timeout_s=2.0))
             if result.whole and result.status == 200:
                 rows = json.loads(result.body)["entries"]
                 age = int(result.headers_by_name["cache-control"].partition("=")[2])
                 if rows:
-                    return [row["address"] for row in rows], asked + age
-        return known, time.monotonic() + 0.1
+                    return [row["address"] for row in rows], requested_at + age
+        return previous_addresses, time.monotonic() + 0.1
 
     def _check_stream(self, address: str) -> None:
         chunks: list[bytes] = []
--- a/libs/arbutusrill_bench/proof_gone.py
+++ b/libs/arbutusrill_bench/proof_gone.py
@@ -42,7 +42,7 @@
         self.problems: list[str] = []
 
     def run_round(self, action: str) -> None:
-        """Runs one round; `action` is ``leave`` (clients disconnect), ``kill`` or ``freeze`` (of an entry VM)."""
+        """Runs one round; `action` is ``leave`` (clients disconnect), ``kill`` or ``freeze`` (one entry VM)."""
         entries = self._site.of_kind("entry")
         victim = self._rng.choice(entries)
         callers = [
@@ -57,7 +57,7 @@
         if action == "kill":
             self._site.kill(victim.name)
         elif action == "freeze":
-            self._site.freeze(victim.name)
+            self._site.suspend(victim.name)
         for _, caller in leaving:
             caller.close()
         time.sleep(self._max_release_s)
@@ -67,19 +67,19 @@
         self._recover(action, victim.name)
 
     def _check_held_requests(self, action: str, victim: str, staying: int) -> None:
-        held = self._fetch_held_requests()
-        rows = [row for row in held if action != "leave" and row["vm"] == victim]
-        self.rounds.append(f"{action}: {len(held)} held, {staying} callers stay")
+        held_requests = self._fetch_held_requests()
+        rows = [row for row in held_requests if action != "leave" and row["vm"] == victim]
+        self.rounds.append(f"{action}: {len(held_requests)} held, {staying} callers stay")
         if rows:
             self.problems.append(f"{action} of {victim}: {len(rows)} requests held after {self._max_release_s:g} s")
-        if len(held) > staying:
-            self.problems.append(f"{action}: {len(held)} requests held for {staying} callers")
+        if len(held_requests) > staying:
+            self.problems.append(f"{action}: {len(held_requests)} requests held for {staying} callers")
 
     def _recover(self, action: str, victim: str) -> None:
         if action == "kill":
             self._site.start(victim)
         elif action == "freeze":
-            self._site.thaw(victim)
+            self._site.resume(victim)
         self._site.wait_until(lambda: not self._fetch_held_requests(), "no engine holds a request", 15.0)
         self._site.wait_entries_ready()
 
--- a/libs/arbutusrill_bench/proof_key.py
+++ b/libs/arbutusrill_bench/proof_key.py
@@ -41,7 +41,7 @@
         self.problems: list[str] = []
 
     def run_round(self, action: str) -> None:
-        """Runs one round; `action` is ``none``, ``control`` (a control VM is killed) or ``freeze`` (an entry VM)."""
+        """Runs a round; `action` is ``none``, ``control`` (kills a control VM) or ``freeze`` (suspends an entry VM)."""
         operators = self._site.operators
         issued = operators.call("POST", "/keys", {"workspace": "dispatch"})
         operators.call("GET", f"/in-force/{issued['revision']}")
@@ -54,13 +54,13 @@
             streams = [pool.submit(self._run_stream, entry, issued["key"]) for entry in entries]
             time.sleep(0.5)
             if action == "freeze":
-                self._site.freeze(victim)
+                self._site.suspend(victim)
             self._withdraw_key(issued["id"])
             withdrawn_at[0] = time.monotonic()
             withdrawn.set()
             if action == "freeze":
                 time.sleep(_FREEZE_DURATION_S)
-                self._site.thaw(victim)
+                self._site.resume(victim)
             for entry, watch in zip(entries, polls, strict=True):
                 self._record_delay(action, f"request to {entry.name}", watch.result() - withdrawn_at[0])
             for entry, stream in zip(entries, streams, strict=True):
@@ -84,7 +84,7 @@
                 return
             except OperatorError:
                 time.sleep(0.2)
-        raise SiteError(f"the withdrawal of key {key_id} was not accepted")
+        raise SiteError("no control VM accepted the withdrawal of the key")
 
     def _record_delay(self, action: str, what: str, delay: float) -> None:
         self.delays_s.append(max(0.0, delay))
@@ -115,16 +115,16 @@
     def _run_stream(self, entry: Member, key: str) -> float:
         """Runs a stream longer than the round; returns the monotonic time at which its last token arrived."""
         body: dict[str, Any] = {"model": _MODEL_NAME, "stream": True, "max_tokens": 3000, "prompt": "stop"}
-        last = [time.monotonic()]
+        last_token_at = [time.monotonic()]
 
         def on_data(data: bytes) -> None:
             if b'"text"' in data:
-                last[0] = time.monotonic()
+                last_token_at[0] = time.monotonic()
 
         headers = [f"Authorization: Bearer {key}", "Content-Type: application/json"]
         url = f"http://{entry.address}/v1/completions"
         fetch(Transfer("POST", url, headers, json.dumps(body).encode(), timeout_s=_OBSERVATION_S + 1, on_data=on_data))
-        return last[0]
+        return last_token_at[0]
 
 
 def prove(seed: int, rounds: int, actions: tuple[str, ...] = ("none", "control", "freeze")) -> KeyProof:
--- a/libs/arbutusrill_bench/proof_limit.py
+++ b/libs/arbutusrill_bench/proof_limit.py
@@ -79,9 +79,9 @@
             time.sleep(2.0)  # a group of three replicas tolerates the loss of one at a time
         else:
             self.faults["entry VM frozen"] += 1
-            self._site.freeze(name)
+            self._site.suspend(name)
             time.sleep(self._rng.uniform(0.5, 3.0))
-            self._site.thaw(name)
+            self._site.resume(name)
 
     def _check_windows(self) -> None:
         """Checks all windows that start with the sending of a call; a call counts if sent and answered inside."""
--- a/libs/arbutusrill_bench/proof_once.py
+++ b/libs/arbutusrill_bench/proof_once.py
@@ -122,9 +122,9 @@
                 time.sleep(rng.uniform(0.1, 2.0))
                 self._site.start(name)
             else:
-                self._site.freeze(name)
+                self._site.suspend(name)
                 time.sleep(rng.uniform(0.2, 5.0))
-                self._site.thaw(name)
+                self._site.resume(name)
 
 
 def prove(seed: int, seconds: float, faults: bool = True, entries: int = 3) -> OnceProof:
--- a/libs/arbutusrill_bench/proof_raft.py
+++ b/libs/arbutusrill_bench/proof_raft.py
@@ -134,25 +134,25 @@
 
     def leader(self) -> Member:
         """Waits until a leader is known and returns it."""
-        found: list[Member] = []
+        leaders: list[Member] = []
 
-        def known() -> bool:
+        def leader_is_known() -> bool:
             try:
                 rows = self._site.operators.call("GET", "/replicas")["replicas"]
             except OperatorError:
                 return False
-            leads = next(row["address"] for row in rows if row["leads"])
-            found.extend(member for member in self._controls if member.rpc == leads)
-            return bool(found)
+            leader_address = next(row["address"] for row in rows if row["leads"])
+            leaders.extend(member for member in self._controls if member.rpc == leader_address)
+            return bool(leaders)
 
-        self._site.wait_until(known, "a control VM leads", _WAIT_TIMEOUT_S)
-        return found[0]
+        self._site.wait_until(leader_is_known, "a control VM leads", _WAIT_TIMEOUT_S)
+        return leaders[0]
 
     def _kill(self, member: Member, rng: random.Random) -> None:
-        leads = self.leader() is member
+        was_leader = self.leader() is member
         killed = time.monotonic()
         self._site.kill(member.name)
-        if leads:
+        if was_leader:
             self._site.wait_until(
                 lambda: self._first_accepted_after(killed) is not None, "a change is accepted", _WAIT_TIMEOUT_S
             )
@@ -166,9 +166,9 @@
 
     def _stop(self, member: Member, rng: random.Random) -> None:
         """Suspends a process for longer than its leases and an election, then resumes it."""
-        self._site.freeze(member.name)
+        self._site.suspend(member.name)
         self._stopping.wait(rng.uniform(1.2, 4.0))
-        self._site.thaw(member.name)
+        self._site.resume(member.name)
 
     def _lose(self, member: Member, rng: random.Random) -> None:
         """Deletes and replaces one disk, then immediately that of another VM, which may be the leader."""
@@ -182,17 +182,17 @@
         """
         self._site.kill(member.name)
         shutil.rmtree(self._site.folder / member.name)
-        old = next(row["id"] for row in self._replica_rows() if row["address"] == member.rpc)
+        old_replica_id = next(row["id"] for row in self._replica_rows() if row["address"] == member.rpc)
         started = time.monotonic()
         self._site.start(member.name)
 
         def replaced() -> bool:
             try:
-                self._site.operators.call("POST", "/replicas/replace", {"old": old, "new": member.rpc})
+                self._site.operators.call("POST", "/replicas/replace", {"old": old_replica_id, "new": member.rpc})
             except OperatorError:
                 return False
             rows = self._replica_rows()
-            return old not in [row["id"] for row in rows] and [row["kind"] for row in rows] == ["voter"] * 3
+            return old_replica_id not in [row["id"] for row in rows] and [row["kind"] for row in rows] == ["voter"] * 3
 
         self._site.wait_until(replaced, f"{member.name} is replaced", _WAIT_TIMEOUT_S)
         return time.monotonic() - started
@@ -216,7 +216,7 @@
     def _wait_until_replicas_agree(self) -> None:
         clients = [RpcClient(member.rpc) for member in self._controls]
 
-        def equal() -> bool:
+        def replicas_agree() -> bool:
             try:
                 rows = [client.call(messages.Control, "replica_status", timeout=_CALL_TIMEOUT_S) for client in clients]
             except RpcError:
@@ -226,7 +226,7 @@
                 raise SiteError(f"a replica reports a fault: {faults}")
             return len({(row.applied_index, row.revision) for row in rows}) == 1
 
-        self._site.wait_until(equal, "all replicas have applied the same entries", _WAIT_TIMEOUT_S)
+        self._site.wait_until(replicas_agree, "all replicas have applied the same entries", _WAIT_TIMEOUT_S)
         for client in clients:
             client.close()
 
--- a/libs/arbutusrill_bench/proof_raft_speed.py
+++ b/libs/arbutusrill_bench/proof_raft_speed.py
@@ -128,25 +128,25 @@
     def _wait_until_replicas_agree(self) -> None:
         clients = [RpcClient(member.rpc) for member in self._controls]
 
-        def equal() -> bool:
+        def replicas_agree() -> bool:
             try:
                 rows = [client.call(messages.Control, "replica_status", timeout=1.0) for client in clients]
             except RpcError:
                 return False
             return len({row.applied_index for row in rows}) == 1
 
-        self._site.wait_until(equal, "all replicas have applied the same entries", 60.0)
+        self._site.wait_until(replicas_agree, "all replicas have applied the same entries", 60.0)
         for client in clients:
             client.close()
 
     def idle(self, seconds: float) -> list[dict[str, Any]]:
         """Returns the processor, memory and network usage of each replica while no changes are proposed."""
         leader = self._raft_proof.leader()
-        before = [(_cpu_s(member), _traffic(member)) for member in self._controls]
+        before = [(_cpu_s(member), _connection_traffic(member)) for member in self._controls]
         time.sleep(seconds)
         rows = []
         for member, (cpu, traffic) in zip(self._controls, before, strict=True):
-            now = _traffic(member)
+            now = _connection_traffic(member)
             rows.append(
                 {
                     "replica": member.name,
@@ -173,14 +173,14 @@
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-def _traffic(member: Member) -> tuple[int, int]:
+def _connection_traffic(member: Member) -> tuple[int, int]:
     """Returns the bytes and packets of a process's open connections in both directions; zeros if ``ss`` is missing."""
     if shutil.which("ss") is None:
         return 0, 0
     lines = subprocess.run(["ss", "-tinpHO"], capture_output=True, text=True, check=True).stdout.splitlines()
-    mine = [line for line in lines if f"pid={member.process.pid}," in line]
+    connection_lines = [line for line in lines if f"pid={member.process.pid}," in line]
     sums = [
-        sum(int(value) for line in mine for value in re.findall(rf"\b{field}:(\d+)", line))
+        sum(int(value) for line in connection_lines for value in re.findall(rf"\b{field}:(\d+)", line))
         for field in ("bytes_sent", "bytes_received", "segs_out", "segs_in")
     ]
     return sums[0] + sums[1], sums[2] + sums[3]
--- a/libs/arbutusrill_bench/state_cost.py
+++ b/libs/arbutusrill_bench/state_cost.py
@@ -126,10 +126,10 @@
 
 def _allocated_bytes(build: Callable[[], object]) -> tuple[object, int]:
     tracemalloc.start()
-    made = build()
+    built = build()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return made, size
+    return built, size
 
 
 def _print_memory_cost() -> None:
--- a/libs/arbutusrill_bench/tests/test_bench.py
+++ b/libs/arbutusrill_bench/tests/test_bench.py
@@ -8,7 +8,7 @@
 from arbutusrill_bench.bench import main
 
 
-def test_smoke_report_is_whole_and_consistent(tmp_path):
+def test_smoke_report_is_complete_and_consistent(tmp_path):
     main(scenario=["smoke"], policy=["least_loaded", "reserving"], seed=3, seconds=3.0, out=tmp_path)
     report = json.loads((tmp_path / "bench.json").read_text())
     assert report["seed"] == 3 and report["time_scale"] == 1 and report["commit"]
@@ -32,7 +32,7 @@
     assert "seed 3" in text and "time scale 1" in text and "least_loaded" in text
 
 
-def test_scenarios_name_members_that_exist():
+def test_events_refer_to_existing_members():
     """An event for a member that does not exist would turn a fault scenario into a run without faults."""
     for scenario in SCENARIOS:
         engines = {role: sum(runner.role == role for runner in scenario.runners) for role in ("prefill", "decode")}
--- a/libs/arbutusrill_bench/tests/test_measures.py
+++ b/libs/arbutusrill_bench/tests/test_measures.py
@@ -32,7 +32,7 @@
     assert prompt_text(first[3], 1) == prompt_text(again[3], 1)
 
 
-def test_more_load_of_one_workspace_leaves_the_requests_of_others():
+def test_load_of_one_workspace_does_not_change_requests_of_others():
     """Otherwise a change for other workspaces could be an effect of their own changed load."""
     greedy = replace(LOAD, workspaces=(WorkspaceLoad("a", 0.5, 5.0), WorkspaceLoad("b", 0.5)))
     arrivals = [[row.at for row in plan(load, SPAN, 1) if row.workspace == "b"] for load in (LOAD, greedy)]
@@ -62,21 +62,21 @@
     assert category(request(), replace(GOOD, **changes), Targets()) == expected
 
 
-def test_deadline_replaces_the_target_of_the_first_token():
+def test_deadline_replaces_the_first_token_target():
     """A class with a deadline may start late but must be complete before the deadline."""
     briefing = request(deadline_s=30.0)
     assert category(briefing, replace(GOOD, first_s=20.0, end_s=25.0), Targets()) == "good"
     assert category(briefing, replace(GOOD, end_s=31.0), Targets()) == "late"
 
 
-def test_only_what_a_bucket_would_admit_is_inside_the_rate():
+def test_inside_rate_matches_an_ideal_token_bucket():
     rate, burst = LOAD.limit(LOAD.workspaces[0])
     flood = [request(number=number, prompt_tokens=int(burst // 2)) for number in range(3)]
     later = request(number=3, at=burst / rate, prompt_tokens=int(burst // 2))
     assert inside_rate([*flood, later], LOAD) == {0, 1, 3}
 
 
-def test_excess_counts_only_what_is_certain():
+def test_excess_counts_only_provable_violations():
     """A request that may have been admitted before the window does not count as exceeding the limit."""
     assert excess_tokens([(0.0, 1.0, 600), (0.0, 1.0, 600)], rate=100, burst=1000) == 100
     assert excess_tokens([(0.0, 5.0, 600), (4.0, 5.0, 600)], rate=100, burst=1000) == 0
@@ -97,7 +97,7 @@
             assert all(row.charge <= burst for row in plan(scenario.load, SPAN, 1) if row.workspace == workspace.name)
 
 
-def test_load_goes_on_after_the_measured_time_until_the_last_deadline():
+def test_load_continues_after_the_measurement_until_the_last_deadline():
     """When the load ended with the measurement, briefings were deferred past it: 100% goodput at 1.5 times the load."""
     peak = next(scenario for scenario in SCENARIOS if scenario.name == "peak").load
     span = Span(2.0, 9.0, _COOL_DOWN_S)
@@ -108,7 +108,7 @@
     assert count_after / span.cool_down > 0.8 * count_before / span.measured
 
 
-def test_peak_asks_for_more_than_the_decode_runners_can_make():
+def test_peak_exceeds_the_capacity_of_the_decode_runners():
     """A peak within the capacity of the runners would not test how a policy handles overload."""
     by_name = {scenario.name: scenario for scenario in SCENARIOS}
     demand = {}
--- a/libs/arbutusrill_bench/tests/test_openai_client.py
+++ b/libs/arbutusrill_bench/tests/test_openai_client.py
@@ -33,11 +33,11 @@
 @pytest.fixture(scope="module")
 def client(site):
     with client_of(site, "dispatch") as client:
-        site.wait_until(lambda: serves(client), "a completion is served")
+        site.wait_until(lambda: is_served(client), "a completion is served")
         yield client
 
 
-def serves(client):
+def is_served(client):
     try:
         return bool(client.completions.create(model=MODEL, prompt="x", max_tokens=1).choices)
     except openai.APIError:
@@ -49,7 +49,7 @@
     assert client.models.retrieve(MODEL).id == MODEL
 
 
-def test_chat_whole(client):
+def test_chat_not_streamed(client):
     answer = client.chat.completions.create(model=MODEL, messages=MESSAGES, max_tokens=8)
     assert len(answer.choices[0].message.content.split()) == 8
     assert (answer.choices[0].finish_reason, answer.usage.completion_tokens) == ("length", 8)
@@ -65,13 +65,13 @@
     assert chunks[-1].usage.completion_tokens == 8
 
 
-def test_completions_whole_and_streamed(client):
+def test_completions_not_streamed_and_streamed(client):
     whole = client.completions.create(model=MODEL, prompt="Stops of route 7", max_tokens=6)
     stream = client.completions.create(model=MODEL, prompt="Stops of route 7", max_tokens=6, stream=True)
     assert "".join(chunk.choices[0].text for chunk in stream) == whole.choices[0].text
 
 
-def test_errors_have_their_types(site, client):
+def test_errors_raise_the_matching_exceptions(site, client):
     chat = client.chat.completions.create
     with pytest.raises(openai.AuthenticationError) as caught:
         client.with_options(api_key="ak-wrong").models.list()
@@ -89,7 +89,7 @@
     assert float(caught.value.response.headers["retry-after"]) >= 1
 
 
-def test_stream_whose_engine_dies_ends_with_an_error(site, client):
+def test_stream_ends_with_an_error_when_its_engine_is_killed(site, client):
     stream = client.completions.create(model=MODEL, prompt="x", max_tokens=3000, stream=True)
     with pytest.raises((openai.APIError, openai.APIConnectionError)):
         for number, _ in enumerate(stream):
--- a/libs/arbutusrill_bench/tests/test_proof_gone.py
+++ b/libs/arbutusrill_bench/tests/test_proof_gone.py
@@ -7,6 +7,6 @@
 MAX_RELEASE_S = 10.0
 
 
-def test_slots_are_freed_when_callers_leave_or_an_entry_vm_dies():
+def test_slots_are_freed_when_clients_disconnect_or_an_entry_vm_is_killed():
     proof = prove(seed=5, rounds=2, actions=("leave", "kill"), max_release_s=MAX_RELEASE_S)
     assert proof.problems == []
--- a/libs/arbutusrill_bench/tests/test_proof_raft.py
+++ b/libs/arbutusrill_bench/tests/test_proof_raft.py
@@ -4,14 +4,14 @@
 from arbutusrill_bench.proof_raft import Accepted, RaftProof, prove
 
 
-def test_short_run_breaks_no_invariant():
+def test_short_run_violates_no_invariant():
     proof = prove(seed=2, seconds=8)
     assert proof.problems == []
     assert proof.reads > 0
     assert len(proof.accepted) > 50
 
 
-def test_lost_and_reordered_changes_are_found():
+def test_lost_and_reordered_changes_are_detected():
     with LocalSite(controls=1, entries=0) as site:
         site.operators.call("PUT", "/workspaces/kept", {"rate": 1, "burst": 1})
         proof = RaftProof(site, 1)
--- a/libs/arbutusrill_bench/tests/test_rate.py
+++ b/libs/arbutusrill_bench/tests/test_rate.py
@@ -39,7 +39,7 @@
         site.wait_until(lambda entry=entry: status(site, entry, "calm") == 200, f"{entry.name} reaches the service")
 
 
-def test_five_entry_vms_hit_at_once_admit_one_rate_and_burst(site):
+def test_five_entry_vms_together_admit_one_rate_and_burst(site):
     wait_for_service(site)
     counts = []
     started = time.monotonic()
--- a/libs/arbutusrill_bench/tests/test_site.py
+++ b/libs/arbutusrill_bench/tests/test_site.py
@@ -15,27 +15,27 @@
         yield site
 
 
-def answers(member):
+def responds(member):
     result = fetch(Transfer("GET", f"http://{member.address}/healthz", timeout_s=1.0, fresh=True))
     return result.whole and result.status == 200
 
 
-def test_frozen_member_is_silent_and_goes_on_when_thawed(site):
+def test_suspended_member_does_not_respond_until_resumed(site):
     entry = site.members_by_name["entry1"]
     process = entry.process
-    site.freeze("entry1")
-    assert not answers(entry)
-    site.thaw("entry1")
-    site.wait_until(lambda: answers(entry), "the entry VM answers again")
+    site.suspend("entry1")
+    assert not responds(entry)
+    site.resume("entry1")
+    site.wait_until(lambda: responds(entry), "the entry VM answers again")
     assert process.poll() is None
 
 
-def test_restart_ends_a_frozen_member_too(site):
+def test_restart_kills_a_suspended_member(site):
     entry = site.members_by_name["entry1"]
     old = entry.process
-    site.freeze("entry1")
+    site.suspend("entry1")
     site.restart("entry1")
-    site.wait_until(lambda: answers(entry), "the entry VM answers again")
+    site.wait_until(lambda: responds(entry), "the entry VM answers again")
     assert old.poll() is not None and entry.process is not old
 
 
@@ -49,22 +49,22 @@
     assert not (folder / "marker").exists()
 
 
-class SlowOperators:
-    """Stub of `OperatorClient`: the pool has an owner, but revision 7 is in force only after `behind` more calls."""
+class StubOperatorClient:
+    """Stub of `OperatorClient`: the pool has an owner, but revision 7 is not in force for `pending_calls` calls."""
 
-    def __init__(self, behind):
-        self.behind = behind
+    def __init__(self, pending_calls):
+        self.pending_calls = pending_calls
 
     def call(self, _method, path):
         if path == "/status":
             return {"revision": 7, "pools": [{"name": "seats", "owner": "entry1"}]}
         assert path == "/in-force/7"
-        self.behind -= 1
-        return {"in_force": self.behind < 0}
+        self.pending_calls -= 1
+        return {"in_force": self.pending_calls < 0}
 
 
-def test_pool_is_waited_for_until_the_slowest_entry_vm_knows_it():
-    operators = SlowOperators(behind=2)
+def test_wait_for_pool_waits_for_the_slowest_entry_vm():
+    operators = StubOperatorClient(pending_calls=2)
     site = types.SimpleNamespace(operators=operators, wait_until=partial(LocalSite.wait_until, None))
     LocalSite.wait_for_pool(site, "seats")
-    assert operators.behind == -1
+    assert operators.pending_calls == -1
