--- a/libs/arbutusrill_bench/_runs.py
+++ b/libs/arbutusrill_bench/_runs.py
@@ -242,7 +242,7 @@
             url = f"http://{self._site.members_by_name[name].address}/stand-in/fault"
             result = fetch(Transfer("POST", url, [], json.dumps(body).encode(), timeout_s=3.0))
             if result.status != 200:
-                raise SiteError(f"{name} rejected the fault {event.action}")
+                raise SiteError(f"fault {event.action} was rejected by {name}")
 
     def _leader_name(self) -> str:
         leader = self._site.operators.call("GET", "/status")["replica"].get("leader", "")
--- a/libs/arbutusrill_bench/proof_key.py
+++ b/libs/arbutusrill_bench/proof_key.py
@@ -28,7 +28,7 @@
 _MODEL_NAME = "route-writer"
 _OBSERVATION_S = 8.0
 _POLL_PERIOD_S = 0.05
-_FREEZE_DURATION_S = 4.0
+_SUSPENSION_S = 4.0
 
 
 class KeyProof:
@@ -45,12 +45,12 @@
         operators = self._site.operators
         issued = operators.call("POST", "/keys", {"workspace": "dispatch"})
         operators.call("GET", f"/in-force/{issued['revision']}")
-        victim = self._choose_victim(action)
+        victim = self._prepare_fault(action)
         withdrawn = threading.Event()
         withdrawn_at = [0.0]
         with ThreadPoolExecutor(16) as pool:
             entries = self._site.of_kind("entry")
-            polls = [pool.submit(self._poll_until_refused, entry, issued["key"], withdrawn) for entry in entries]
+            polls = [pool.submit(self._poll_acceptance, entry, issued["key"], withdrawn) for entry in entries]
             streams = [pool.submit(self._run_stream, entry, issued["key"]) for entry in entries]
             time.sleep(0.5)
             if action == "freeze":
@@ -59,17 +59,17 @@
             withdrawn_at[0] = time.monotonic()
             withdrawn.set()
             if action == "freeze":
-                time.sleep(_FREEZE_DURATION_S)
+                time.sleep(_SUSPENSION_S)
                 self._site.resume(victim)
-            for entry, watch in zip(entries, polls, strict=True):
-                self._record_delay(action, f"request to {entry.name}", watch.result() - withdrawn_at[0])
+            for entry, poll in zip(entries, polls, strict=True):
+                self._record_delay(action, f"request to {entry.name}", poll.result() - withdrawn_at[0])
             for entry, stream in zip(entries, streams, strict=True):
                 self._record_delay(action, f"stream of {entry.name}", stream.result() - withdrawn_at[0])
         if action == "control":
             self._site.start(victim)
         self._site.wait_entries_ready()
 
-    def _choose_victim(self, action: str) -> str:
+    def _prepare_fault(self, action: str) -> str:
         kind = "control" if action == "control" else "entry"
         victim = self._rng.choice(self._site.of_kind(kind)).name
         if action == "control":
@@ -91,10 +91,10 @@
         if delay > MAX_WITHDRAWAL_DELAY_S:
             self.problems.append(f"{action}: {what} was served {delay:.2f} s after the withdrawal")
 
-    def _poll_until_refused(self, entry: Member, key: str, withdrawn: threading.Event) -> float:
+    def _poll_acceptance(self, entry: Member, key: str, withdrawn: threading.Event) -> float:
         """Polls over a persistent connection; returns the monotonic send time of the last accepted request."""
         connection = http.client.HTTPConnection(*split_address(entry.address), timeout=10)
-        accepted = time.monotonic()
+        last_accepted_at = time.monotonic()
         end = float("inf")
         while time.monotonic() < end:
             if withdrawn.is_set() and end == float("inf"):
@@ -105,12 +105,12 @@
                 response = connection.getresponse()
                 response.read()
                 if response.status == 200:
-                    accepted = sent
+                    last_accepted_at = sent
             except (OSError, http.client.HTTPException):
                 connection.close()
             time.sleep(_POLL_PERIOD_S)
         connection.close()
-        return accepted
+        return last_accepted_at
 
     def _run_stream(self, entry: Member, key: str) -> float:
         """Runs a stream longer than the round; returns the monotonic time at which its last token arrived."""
