--- a/libs/arbutusrill_bench/tests/test_bench.py
+++ b/libs/arbutusrill_bench/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""Guards against a bench whose report is incomplete or contradicts itself; judges no figure."""
+"""Checks that benchmark reports are complete and consistent; makes no claims about performance."""
 
 import json
 
@@ -8,7 +8,7 @@
 from arbutusrill_bench.bench import main
 
 
-def test_smoke_report_is_whole_and_consistent(tmp_path):
+def test_smoke_report_is_complete_and_consistent(tmp_path):
     main(scenario=["smoke"], policy=["least_loaded", "reserving"], seed=3, seconds=3.0, out=tmp_path)
     report = json.loads((tmp_path / "bench.json").read_text())
     assert report["seed"] == 3 and report["time_scale"] == 1 and report["commit"]
@@ -32,8 +32,8 @@
     assert "seed 3" in text and "time scale 1" in text and "least_loaded" in text
 
 
-def test_scenarios_name_members_that_exist():
-    """An event on a member that is not there would make a fault scenario a run without fault."""
+def test_events_refer_to_existing_members():
+    """An event for a member that does not exist would turn a fault scenario into a run without faults."""
     for scenario in SCENARIOS:
         engines = {role: sum(runner.role == role for runner in scenario.runners) for role in ("prefill", "decode")}
         known = {f"engine-{role[0]}{number + 1}" for role, count in engines.items() for number in range(count)}
@@ -42,7 +42,7 @@
 
 
 def test_comparison_with_a_disturbed_run_is_marked():
-    """Seen: goodput of 6% at a load average of 42 on 10 processors, where the machine and not the policy was late."""
+    """On an overloaded machine (load average 42 on 10 processors) goodput was 6%, which says nothing about a policy."""
     runs = [Run("steady", policy, 1, 9.0, 1.0) for policy in ("round_robin", "reserving")]
     report = Report("c", 1, 9.0, 1.0, "now", runs)
     assert not any("not valid" in line for line in table_lines(report))
