--- a/libs/arbutusrill_gateway/_stream.py
+++ b/libs/arbutusrill_gateway/_stream.py
@@ -20,18 +20,18 @@
 
 __all__ = ["relay_stream"]
 
-_MAX_UNREACHED = 4  # unreachable engines per request
+_MAX_UNREACHED = 4  # connection failures per request that do not count as attempts
 _RETRY_AFTER_S = 0.15
 # Limits of the wait for a placement: a fraction of the remaining time, and a multiple of the route's latency objective.
 # Callers disconnect after about four times the objective.
 _PLACEMENT_WAIT_FRACTION = 0.35
 _PLACEMENT_WAIT_OBJECTIVE_FACTOR = 3.0
-_MIN_OBJECTIVE_S = 0.5
+_MIN_OBJECTIVE_S = 0.5  # lower bound of the objective in that limit
 _STALL_TIMEOUT_S = 1.2  # a resumable stream without data for this time is resumed on another engine
 _END_OF_EVENT = re.compile(rb"\r?\n\r?\n")
 
 
-class _CallerLeftError(Exception):
+class _CallerDisconnectedError(Exception):
     """The caller's connection failed while an event was written to it."""
 
 
@@ -50,7 +50,10 @@
         self.non_stream_body: list[bytes] = []  # chunks of a response that is not a stream, such as an error
 
     def on_head(self, status: int, headers_by_name: dict[str, str]) -> None:
-        """Decides whether the body is a valid stream for this request, and drops an incomplete event."""
+        """Decides whether the body is a valid stream for this request.
+
+        Drops the incomplete event of the previous attempt.
+        """
         response = self._exchange.protocol.decode_response(status, headers_by_name)
         matches = response.request_id == self._exchange.request.id
         self._buffer = b""
@@ -64,18 +67,18 @@
             self.non_stream_body.append(data)
             return
         self._buffer += data
-        whole_events = []
-        while found := _END_OF_EVENT.search(self._buffer):
-            event, self._buffer = self._buffer[: found.end()], self._buffer[found.end() :]
-            number = self._exchange.protocol.event_id(event)
-            if number is not None:
-                if self.last_id is not None and number <= self.last_id:
+        complete_events = []
+        while separator := _END_OF_EVENT.search(self._buffer):
+            event, self._buffer = self._buffer[: separator.end()], self._buffer[separator.end() :]
+            event_id = self._exchange.protocol.event_id(event)
+            if event_id is not None:
+                if self.last_id is not None and event_id <= self.last_id:
                     continue
-                self.last_id = number
-            whole_events.append(event)
+                self.last_id = event_id
+            complete_events.append(event)
             self.forwarded_count += 1
-        if whole_events:
-            self._forward(b"".join(whole_events))
+        if complete_events:
+            self._forward(b"".join(complete_events))
 
     @property
     def has_data(self) -> bool:
@@ -96,25 +99,25 @@
         try:
             if not exchange.responder.status:
                 exchange.first_event_s = time.monotonic() - exchange.started
-                headers = [row for row in self._response_head.headers if row[0].lower() != "content-length"]
+                headers = [header for header in self._response_head.headers if header[0].lower() != "content-length"]
                 exchange.responder.send_head(200, headers)
             exchange.responder.write(data)
         except OSError as error:
-            raise _CallerLeftError(str(error)) from error
+            raise _CallerDisconnectedError(str(error)) from error
 
 
 def relay_stream(exchange: Exchange) -> None:
     """Serves one stream: prefill if a prefill engine is available, then decode, with resumption on other engines."""
     events = _EventRelay(exchange)
     prefill_decode = _PrefillDecode(exchange, events)
-    unreached = 0
+    unreached_count = 0
     while True:
         if not exchange.has_time():
             _refuse_or_abort(exchange, "no_time", "the time limit has passed", _RETRY_AFTER_S)
             return
-        placement, wait_s = _acquire_placement(exchange, events)
-        if wait_s is not None:
-            _refuse_or_abort(exchange, "engines_full", "no engine had room in time", wait_s)
+        placement, retry_after_s = _acquire_placement(exchange, events)
+        if retry_after_s is not None:
+            _refuse_or_abort(exchange, "engines_full", "no engine had room in time", retry_after_s)
             return
         try:
             result = prefill_decode.run(placement)
@@ -129,8 +132,8 @@
         if result is None:
             _refuse_or_abort(exchange, "no_engine", "no engine is available", _RETRY_AFTER_S)
             return
-        if result.outcome is Outcome.UNREACHED and unreached < _MAX_UNREACHED:
-            unreached += 1
+        if result.outcome is Outcome.UNREACHED and unreached_count < _MAX_UNREACHED:
+            unreached_count += 1
             continue
         exchange.attempt_count += 1
         if _finish_or_retry(exchange, result, events):
@@ -138,16 +141,20 @@
 
 
 def _acquire_placement(exchange: Exchange, events: _EventRelay) -> tuple[Placement | None, float | None]:
-    """Returns a placement, or the seconds after which to retry; both are None if none is needed or available."""
+    """Returns a placement, or the seconds after which to retry.
+
+    Both are None if the service has no engines, the leader is unavailable, or the leader granted an engine that this VM
+    does not know yet.
+    """
     if exchange.service.engine is None:
         return None, None
     avoid = [*exchange.pool.avoided_ids(), *exchange.tried]
-    is_resumed = bool(_resume_point(exchange, events))
+    is_resumed = bool(_last_event_id(exchange, events))
     max_wait_s = min(
         _PLACEMENT_WAIT_FRACTION * exchange.remaining_s(),
         _PLACEMENT_WAIT_OBJECTIVE_FACTOR * max(exchange.route.objective_s, _MIN_OBJECTIVE_S),
     )
-    wanted = PlacementRequest(
+    placement_request = PlacementRequest(
         exchange.service,
         exchange.request,
         exchange.objective_remaining_s(),
@@ -157,12 +164,13 @@
         exchange.route.event_gap_s,
     )
     try:
-        return exchange.placements.acquire(wanted, max_wait_s)
+        return exchange.placements.acquire(placement_request, max_wait_s)
     except ConnectionResetError:
         raise exchange.caller_gone_error() from None
 
 
-def _resume_point(exchange: Exchange, events: _EventRelay) -> str:
+def _last_event_id(exchange: Exchange, events: _EventRelay) -> str:
+    """Returns the id of the last event that the caller received, empty if there is none."""
     return exchange.request.resume_after if events.last_id is None else str(events.last_id)
 
 
@@ -192,6 +200,7 @@
             result = _send(exchange, candidate, kv_cache, events)
         exchange.record_attempt(candidate, "decode" if kv_cache else "whole", result)
         if result.outcome is Outcome.GONE:
+            # Before the first forwarded event, the decode engine may not have fetched the KV cache.
             if not exchange.responder.status:
                 release_kv_cache(exchange, kv_cache)
             raise exchange.caller_gone_error()
@@ -212,7 +221,7 @@
     def _prefill(self, placement: Placement | None) -> KvCacheHandle | None:
         exchange = self._exchange
         engine = exchange.service.engine
-        if engine is None or _resume_point(exchange, self._events):
+        if engine is None or _last_event_id(exchange, self._events):
             return None
         if self._kv_cache is not None and time.monotonic() - self._prefilled_at < engine.handle_s:
             return self._kv_cache
@@ -260,7 +269,7 @@
     exchange: Exchange, candidate: Candidate, kv_cache: KvCacheHandle | None, events: _EventRelay
 ) -> AttemptResult:
     backend_request = exchange.backend_request(
-        candidate, kv_cache=kv_cache, resume_after=_resume_point(exchange, events)
+        candidate, kv_cache=kv_cache, resume_after=_last_event_id(exchange, events)
     )
     stall_s = (
         _STALL_TIMEOUT_S
@@ -286,7 +295,7 @@
         ):
             result.outcome, result.detail = Outcome.BROKEN, "a success without an event"
         return result
-    except _CallerLeftError:
+    except _CallerDisconnectedError:
         exchange.verdict = exchange.verdict.worst(Verdict.MAY_HAVE_RUN)
         raise exchange.caller_gone_error() from None
 
@@ -316,9 +325,14 @@
 def _record_failure(
     exchange: Exchange, candidate: Candidate, result: AttemptResult, kv_cache: KvCacheHandle | None
 ) -> None:
-    """Records a failure of the engine that most likely caused it."""
+    """Records a failed attempt.
+
+    A rejection after a prefill is recorded for both engines, and both may be used again. Any other failure is recorded
+    for the decode engine, which this request does not use again.
+    """
     if result.outcome is Outcome.REJECTED and kv_cache is not None:
-        # The decode engine is full or could not fetch the KV cache; neither means that an engine is faulty.
+        # The decode engine is full or could not fetch the KV cache; neither proves an engine faulty, so both may be
+        # used again.
         exchange.pool.record_failure(kv_cache.record, f"KV cache not fetched: {result.detail}", avoid=False)
         exchange.pool.record_failure(candidate.record, result.detail, avoid=False)
         return
--- a/libs/arbutusrill_limits/_fleet_meter.py
+++ b/libs/arbutusrill_limits/_fleet_meter.py
@@ -27,7 +27,7 @@
 
 
 class RateAuthorityLostError(Exception):
-    """Raised when the leader did not reply or has not received a whole report of this VM."""
+    """Raised when the leader did not reply or has not yet received a whole report from this VM."""
 
 
 class RateAuthority(abc.ABC):
@@ -43,7 +43,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RateDecision:
-    """Decision on a request: `wait_s` is 0 if it is within its workspace's rate, else the seconds until it would be.
+    """Decision on a request.
+
+    `wait_s` is 0 if it is within its workspace's rate, else the seconds after which to retry.
 
     `decided_by` is ``level`` (this VM, from the last level received), ``leader``, ``refusal`` (a recent refusal by the
     leader) or ``part`` (this VM's share of the rate, without the leader). `age_s` is the age of the last levels.
@@ -56,12 +58,14 @@
 
 @dataclass(slots=True)
 class _Account:
+    """Token counts and the latest refusal of one workspace on this VM."""
+
     share: Level  # this VM's share of the bucket, used without the leader
-    spent: float = 0.0  # spent before reporting; excludes tokens that the leader granted on request
+    spent: float = 0.0  # total since this VM's start, without tokens that the leader granted on request
     reported: float = 0.0  # part of `spent` that the leader has deducted
     granted: float = 0.0  # by the leader on request since it last sent the levels
-    granted_before_report: float = 0.0  # part of `granted` before the report in flight
-    refused_until: float = float("-inf")
+    granted_before_report: float = 0.0  # value of `granted` when the report in flight was made
+    refused_until: float = float("-inf")  # monotonic clock
     refused_tokens: float = math.inf  # smallest refused request
 
 
@@ -79,31 +83,32 @@
         self._slack = slack
         self._lock = threading.Lock()
         self._account_by_workspace: dict[str, _Account] = {}
-        self._levels: dict[str, float] = {}
+        # Tokens, sent by the leader or implied by its refusals; full buckets are missing.
+        self._level_by_workspace: dict[str, float] = {}
         self._levels_received_at = float("-inf")
         self._whole_report_due = True
-        self._leader_lost_until = float("-inf")
+        self._leader_unavailable_until = float("-inf")
 
     def admit(self, workspace: str, tokens: float, limits: Limits) -> RateDecision:
-        """Charges `tokens`, or returns the seconds until enough tokens will have accrued."""
+        """Charges `tokens` if the rate allows it, and returns the decision."""
         now = self._clock.monotonic()
         limits = limits.widened(self._slack)
         with self._lock:
-            account = self._account(workspace, limits, now)
-            level = self._level(workspace, account, limits, now)
+            account = self._refilled_account(workspace, limits, now)
+            level = self._estimated_level(workspace, account, limits, now)
             if level is not None and level - tokens >= limits.burst * _MIN_LOCAL_LEVEL_FRACTION:
                 account.spent += tokens
                 account.share.tokens -= tokens
                 return RateDecision(0.0, "level", now - self._levels_received_at)
             if now < account.refused_until and tokens >= account.refused_tokens:
                 return RateDecision(account.refused_until - now, "refusal", now - self._levels_received_at)
-            leader_lost = now < self._leader_lost_until
-        if not leader_lost:
+            leader_unavailable = now < self._leader_unavailable_until
+        if not leader_unavailable:
             try:
                 wait_s = self._authority.charge(workspace, tokens)
             except RateAuthorityLostError:
                 with self._lock:
-                    self._leader_lost_until = self._clock.monotonic() + _LEADER_RETRY_PAUSE_S
+                    self._leader_unavailable_until = self._clock.monotonic() + _LEADER_RETRY_PAUSE_S
             else:
                 self._record_answer(workspace, account, tokens, limits, wait_s)
                 return RateDecision(wait_s, "leader", now - self._levels_received_at)
@@ -111,7 +116,7 @@
             wait_s = self._admit_from_share(workspace, account, tokens, limits)
             return RateDecision(wait_s, "part", now - self._levels_received_at)
 
-    def _account(self, workspace: str, limits: Limits, now: float) -> _Account:
+    def _refilled_account(self, workspace: str, limits: Limits, now: float) -> _Account:
         share_limits = limits.scaled(self._share_fraction())
         account = self._account_by_workspace.get(workspace)
         if account is None:
@@ -123,12 +128,12 @@
         """Returns the fraction of a bucket that this VM may use without the leader."""
         return 1 / max(1, self._entry_count())
 
-    def _level(self, workspace: str, account: _Account, limits: Limits, now: float) -> float | None:
+    def _estimated_level(self, workspace: str, account: _Account, limits: Limits, now: float) -> float | None:
         """Returns the level estimated from the last one that the leader sent, or None when that is too old."""
         age_s = now - self._levels_received_at
         if age_s > _MAX_LEVEL_AGE_S:
             return None
-        level = self._levels.get(workspace, math.inf) + limits.rate * age_s
+        level = self._level_by_workspace.get(workspace, math.inf) + limits.rate * age_s
         return min(level, limits.burst) - account.granted - (account.spent - account.reported)
 
     def _record_answer(self, workspace: str, account: _Account, tokens: float, limits: Limits, wait_s: float) -> None:
@@ -139,8 +144,12 @@
                 account.share.tokens -= tokens
                 return
             if now - self._levels_received_at <= _MAX_LEVEL_AGE_S:
-                left = min(tokens, limits.burst) - wait_s * limits.rate
-                self._levels[workspace] = left + account.granted - limits.rate * (now - self._levels_received_at)
+                # Stores the level implied by the refusal as of `_levels_received_at`; `_estimated_level` subtracts
+                # `granted` again.
+                leader_level = min(tokens, limits.burst) - wait_s * limits.rate
+                self._level_by_workspace[workspace] = (
+                    leader_level + account.granted - limits.rate * (now - self._levels_received_at)
+                )
             if now >= account.refused_until:
                 account.refused_tokens = math.inf
             account.refused_until = now + min(wait_s, _MAX_CACHED_REFUSAL_S)
@@ -149,10 +158,10 @@
     def _admit_from_share(self, workspace: str, account: _Account, tokens: float, limits: Limits) -> float:
         share_fraction = self._share_fraction()
         share_limits = limits.scaled(share_fraction)
-        if workspace in self._levels:  # the bucket was not full when the leader last sent levels
+        if workspace in self._level_by_workspace:  # the bucket was not full when the leader last sent levels
             age_s = self._clock.monotonic() - self._levels_received_at
-            left = max(0.0, self._levels[workspace] + limits.rate * age_s)
-            account.share.tokens = min(account.share.tokens, left * share_fraction)
+            level = max(0.0, self._level_by_workspace[workspace] + limits.rate * age_s)
+            account.share.tokens = min(account.share.tokens, level * share_fraction)
         # A request larger than this VM's share is admitted when the share is full.
         shortfall = min(tokens, share_limits.burst) - account.share.tokens
         if shortfall > 0:
@@ -183,8 +192,8 @@
             return SpendReport(
                 {workspace: account.spent for workspace, account in accounts},
                 True,
-                dict(self._levels),
-                now - self._levels_received_at if self._levels else 0.0,
+                dict(self._level_by_workspace),
+                now - self._levels_received_at if self._level_by_workspace else 0.0,
                 {
                     workspace: tokens
                     for workspace, account in accounts
@@ -198,7 +207,7 @@
             self._whole_report_due = not levels.counted
             if not levels.counted:
                 return
-            self._levels = levels.tokens_by_workspace
+            self._level_by_workspace = levels.tokens_by_workspace
             self._levels_received_at = self._clock.monotonic()
             for account in self._account_by_workspace.values():
                 account.granted -= account.granted_before_report
--- a/libs/arbutusrill_pool/_dispatch.py
+++ b/libs/arbutusrill_pool/_dispatch.py
@@ -19,23 +19,25 @@
 
 __all__ = ["Dispatcher"]
 
-POLL_TIMEOUT_S = 1.2  # four polling periods of 300 ms; the caller of a ticket not polled for longer is gone
-MAX_QUEUED_TICKETS = 20_000  # about 40 MB and, at a peak of 540 requests/s, more than half a minute
-BRIEFING_RESERVED_FRACTION = 0.1  # of the slots, left free by briefings for urgent requests
-BRIEFING_PROMOTION_S = 4.0  # a briefing due within this time becomes urgent
+# Four polling periods of 300 ms; a caller that does not poll for longer is assumed to have disconnected.
+POLL_TIMEOUT_S = 1.2
+# About 40 MB of memory, and more than half a minute of arrivals at a peak of 540 requests/s.
+MAX_QUEUED_TICKETS = 20_000
+URGENT_RESERVED_FRACTION = 0.1  # of the slots, left free for urgent tickets by deferred ones
+DEFERRED_PROMOTION_S = 4.0  # a deferred ticket due within this time becomes urgent
 AVERAGES_INTERVAL_S = 1.0  # a refresh over 1,400 servers takes some milliseconds
-LOW_CREDIT_FRACTION = 0.25  # of the maximum credit; a workspace below it is close to its share
+LOW_CREDIT_FRACTION = 0.25  # of the maximum credit; a workspace below it has almost used up its share
 # Headroom that a workspace beyond its share leaves free, in standard deviations of the use of the others. Slots are
-# held many times longer than prefill servers: with 0.5 for both, 5 times the load of one workspace raised the 95th
-# percentile of the others by 40% to 85%.
+# held many times longer than prefill servers and need more headroom: with 0.5 for both, 5 times the load of one
+# workspace raised the 95th percentile of the others' time to first token by 40% to 85%.
 HEADROOM_STD_DEVS_BY_KIND = {"prefill_s": 0.5, "decode_s": 2.0}
-LOW_CREDIT_STD_DEVS_BY_KIND = {"prefill_s": 0.0, "decode_s": 0.5}  # for a workspace close to its share
+LOW_CREDIT_STD_DEVS_BY_KIND = {"prefill_s": 0.0, "decode_s": 0.5}  # for a workspace that has almost used up its share
 _MAX_FAILED_PLACEMENTS = 4  # per band and dispatch; when one ticket has no room, others rarely have
 _MIN_RETRY_MS = 100
 
 
 class Dispatcher:
-    """Queueing, admission and placement of one pool's tickets. Guarded by the owner's lock."""
+    """Queueing, admission and placement of one pool's tickets. Not thread-safe; the owner's lock must be held."""
 
     def __init__(
         self,
@@ -47,7 +49,7 @@
     ):
         self.averages = PoolAverages()
         self.ticket_by_id: dict[str, Ticket] = {}
-        self.plain = False
+        self.plain = False  # whether the pool's servers have no prefill and decode stages
         self.policy: PlacementPolicy = policy_named(config_value("policy.name"))
         self._index = index
         self._queue = queue
@@ -74,6 +76,7 @@
         self.dispatch(now)
         if not ticket.in_queue or not self.policy.reserves or not self._has_servers():
             return
+        # The ticket is taken out so that its own cost does not count in its predicted wait.
         self._queue.remove(ticket)
         share = self._share(ticket, now)
         predicted = self._queue.predicted_wait_s(share, ticket.band, now) + idle_first_token_s
@@ -115,11 +118,14 @@
         self.ticket_by_id.pop(ticket.id, None)
 
     def dispatch(self, now: float) -> None:
-        """Places waiting tickets, urgent ones first, until the servers have no room."""
+        """Places waiting tickets, urgent ones first, until the servers have no room.
+
+        A band ends early when `_MAX_FAILED_PLACEMENTS` of its tickets could not be placed.
+        """
         for band in Band:
             skipped_workspaces: set[str] = set()
             failures_left = _MAX_FAILED_PLACEMENTS
-            while failures_left and self._has_room():
+            while failures_left and self._can_dispatch():
                 ticket = self._queue.head(band, skipped_workspaces)
                 if ticket is None:
                     break
@@ -131,7 +137,8 @@
         stages = ("plain",) if self.plain else ("prefill", "decode")
         return all(self._index.stage(stage).ready.members for stage in stages)
 
-    def _has_room(self) -> bool:
+    def _can_dispatch(self) -> bool:
+        """Whether tickets wait and each stage has a server, one with room if the policy reserves slots."""
         if self._queue.length == 0:
             return False
         if not self.policy.reserves:
@@ -157,8 +164,10 @@
 
     def _assign(self, ticket: Ticket, placement: Placement, now: float) -> None:
         if placement.prefill is not None:
-            prefill_s = placement.prefill_s / max(1, self.averages.prefill_servers)
-            ticket.cost.prefill_s = min(ticket.cost.prefill_s, prefill_s) if placement.uncached_tokens else prefill_s
+            pool_prefill_s = placement.prefill_s / max(1, self.averages.prefill_servers)
+            ticket.cost.prefill_s = (
+                min(ticket.cost.prefill_s, pool_prefill_s) if placement.uncached_tokens else pool_prefill_s
+            )
         self._queue.remove(ticket)
         share = self._share(ticket, now)
         allocation = self._allocations.allocate(ticket, placement, self.policy.reserves, now)
@@ -181,21 +190,21 @@
     def _must_yield(self, ticket: Ticket, now: float) -> bool:
         """Returns whether a ticket must leave the free slots or prefill servers to others.
 
-        Deferred tickets leave `BRIEFING_RESERVED_FRACTION` of the slots free, and workspaces that use up their share
-        leave headroom for the others. A retry after a failure never yields.
+        Deferred tickets leave `URGENT_RESERVED_FRACTION` of the slots free, and workspaces that have used up their
+        share, or almost, leave headroom for the others. A retry after a failure never yields.
         """
-        if ticket.request.avoid:
+        if ticket.request.avoid:  # a retry names the servers to avoid
             return False
         stage = self._index.stage("plain" if self.plain else "decode")
         several_servers = len(stage.ready.members) > 1
         if (
             ticket.band is Band.DEFERRED
             and several_servers
-            and stage.free <= max(1.0, BRIEFING_RESERVED_FRACTION * stage.slots)
+            and stage.free <= max(1.0, URGENT_RESERVED_FRACTION * stage.slots)
         ):
             return True
         share = self._queue.share_by_workspace[ticket.queue_name]
-        if self._queue.active_weight <= share.weight:
+        if self._queue.active_weight <= share.weight:  # no other workspace is active
             return False
         if self._must_leave_free(share, "decode_s", stage.free, stage.slots, now):
             return True
@@ -207,9 +216,10 @@
     def _must_leave_free(self, share: Share, kind: str, free: int, total: int, now: float) -> bool:
         """Returns whether a workspace may not take any of the `free` of `total` slots or prefill servers.
 
-        A workspace that has used up its share leaves free what the others are expected to take soon: their recent mean
-        use plus some standard deviations, less their current use. One that is close to its share leaves less headroom,
-        and takes a prefill server only while one is idle, so that it does not queue behind the prefills of others.
+        A workspace that has used up its share leaves free what the others are expected to take soon: their expected use
+        plus some standard deviations (its square root, as in a Poisson process), less their current use. One that has
+        almost used up its share leaves less headroom, and takes a prefill server only while one is idle, so that it
+        does not queue behind the prefills of others.
         """
         credit = self._queue.credit_fraction(share, kind, now)
         if credit >= LOW_CREDIT_FRACTION:
@@ -220,10 +230,10 @@
         in_use = self._queue.in_use[kind] - share.in_use(kind)
         return free < 1 + max(0.0, expected_use + HEADROOM_STD_DEVS_BY_KIND[kind] * math.sqrt(expected_use) - in_use)
 
-    def tick(self, now: float, active: bool) -> None:
-        """Drops tickets that are no longer polled, refuses overdue ones, promotes briefings that are due soon.
+    def tick(self, now: float, may_dispatch: bool) -> None:
+        """Drops tickets that are no longer polled, refuses overdue ones, promotes deferred ones that are due soon.
 
-        Places tickets only if `active`.
+        Places tickets only if `may_dispatch`.
         """
         self._switch_policy(now)
         self._queue.refresh(now)
@@ -235,9 +245,9 @@
                 self.drop(ticket)
             elif ticket.in_queue and now > ticket.first_token_due_at:
                 self.refuse(ticket, "overloaded", "no server was free in time", self._retry_after_s(ticket, now))
-        for ticket in self._queue.due_deferred(now + BRIEFING_PROMOTION_S):
+        for ticket in self._queue.due_deferred(now + DEFERRED_PROMOTION_S):
             self._queue.promote(ticket)
-        if active:
+        if may_dispatch:
             self.dispatch(now)
 
     def _retry_after_s(self, ticket: Ticket, now: float) -> float:
--- a/libs/arbutusrill_raft/_elections.py
+++ b/libs/arbutusrill_raft/_elections.py
@@ -19,19 +19,19 @@
 
 
 class Elections:
-    """Starts elections on election timeout; a leader without contact to a quorum steps down.
+    """Starts elections on election timeout; a leader that no quorum has acknowledged for `election_max_s` steps down.
 
-    A group forms once, when all initial voters answer and none belongs to a group. The initial voter with the lowest
-    address then appends the first membership, which holds the disk IDs of all of them. A replica that has lost its
-    disk finds that the others belong to a group; it waits to be added as a new member and cannot vote under its
-    old ID.
+    A group forms once, when all initial voters answer and none belongs to a group. The initial voter whose address
+    sorts first as a string then appends the first membership, which holds the member IDs of all of them. A replica
+    that has lost its disk has a new member ID. It forms no second group, since others already belong to one, and has
+    no vote until it is added as a new member.
     """
 
-    def __init__(self, core: Core, transport: Transport, initial: list[str], address: str):
+    def __init__(self, core: Core, transport: Transport, initial_addresses: list[str], own_address: str):
         self._core = core
         self._transport = transport
-        self._other_initial_voters = [other for other in initial if other != address]
-        self._is_founder = bool(initial) and address == min(initial)
+        self._other_initial_addresses = [address for address in initial_addresses if address != own_address]
+        self._is_bootstrap_replica = bool(initial_addresses) and own_address == min(initial_addresses)
 
     def run(self) -> None:
         """Runs until the replica stops."""
@@ -41,33 +41,34 @@
                 if core.stopping or core.fault:
                     return
                 formed = core.membership is not None
-                if formed or not self._is_founder:
-                    self._check_timers()
+                if formed or not self._is_bootstrap_replica:
+                    self._check_timers_and_wait()
                     continue
             self._form_group()
 
-    def _check_timers(self) -> None:
+    def _check_timers_and_wait(self) -> None:
+        """Checks the quorum or the election timeout, then waits for the next check. `core.lock` must be held."""
         core = self._core
         now = core.clock.monotonic()
         try:
             if core.role is Role.LEADER:
                 self._check_quorum(now)
             elif core.is_voter and now >= core.election_due_at:
-                self._start_round(Role.PRE_CANDIDATE)
+                self._start_vote_round(Role.PRE_CANDIDATE)
         except messages.Refused:
             return  # the disk has failed; `save_term_and_vote` has stopped the replica
-        wait = core.timing.heartbeat_s
+        wait_s = core.timing.heartbeat_s
         if core.role is not Role.LEADER and core.is_voter:
-            wait = max(0.001, core.election_due_at - core.clock.monotonic())
-        core.elections_wakeup.wait(wait)
+            wait_s = max(0.001, core.election_due_at - core.clock.monotonic())
+        core.elections_wakeup.wait(wait_s)
 
     def _check_quorum(self, now: float) -> None:
         core = self._core
-        last_contact = max(core.quorum_acked_sent_at(), core.elected_at)
-        if now - last_contact > core.timing.election_max_s:
-            core.step_down(core.term, f"no quorum has answered for {now - last_contact:.1f} s")
+        last_quorum_contact_at = max(core.quorum_acked_sent_at(), core.elected_at)
+        if now - last_quorum_contact_at > core.timing.election_max_s:
+            core.step_down(core.term, f"no quorum has answered for {now - last_quorum_contact_at:.1f} s")
 
-    def _start_round(self, role: Role) -> None:
+    def _start_vote_round(self, role: Role) -> None:
         core = self._core
         if role is Role.CANDIDATE:
             core.save_term_and_vote(core.term + 1, core.own_id)
@@ -81,13 +82,16 @@
         core.elections_wakeup.notify_all()
 
     def count_vote(self, voter: str) -> None:
-        """Counts a vote granted in the current round; a majority ends it. `core.lock` must be held."""
+        """Counts a vote granted in the current round. `core.lock` must be held.
+
+        A majority starts the vote after a pre-vote, and makes this replica leader after a vote.
+        """
         core = self._core
         core.votes.add(voter)
         if len(core.votes.intersection(core.membership.voters)) < core.membership.quorum:
             return
         if core.role is Role.PRE_CANDIDATE:
-            self._start_round(Role.CANDIDATE)
+            self._start_vote_round(Role.CANDIDATE)
         elif core.role is Role.CANDIDATE:
             core.become_leader()
             core.elections_wakeup.notify_all()
@@ -95,27 +99,28 @@
     def _form_group(self) -> None:
         """Appends the first membership if every initial voter answers and none belongs to a group."""
         core = self._core
-        members = [core.own_id]
-        for other in self._other_initial_voters:
+        member_ids = [core.own_id]
+        for address in self._other_initial_addresses:
             try:
-                reply = self._transport.call(other, "hello", core.own_id, core.timing.call_s)
+                reply = self._transport.call(address, "hello", core.own_id, core.timing.call_s)
             except (OSError, messages.Refused):
                 reply = None
             if reply is None or reply.group or reply.fault:
                 break
-            members.append(reply.member)
+            member_ids.append(reply.member)
         with core.lock:
-            complete = len(members) == len(self._other_initial_voters) + 1
-            if not complete or core.membership is not None:
-                wait = _FORMATION_RETRY_S * random.uniform(0.5, 1.5)
+            all_can_join = len(member_ids) == len(self._other_initial_addresses) + 1
+            if not all_can_join or core.membership is not None:
+                wait_s = _FORMATION_RETRY_S * random.uniform(0.5, 1.5)
                 if core.membership is None:
-                    core.elections_wakeup.wait(wait)
+                    core.elections_wakeup.wait(wait_s)
                 return
             try:
                 core.save_term_and_vote(core.term + 1, core.own_id)
             except messages.Refused:
                 return
-            membership = Membership(new_request_id("group")[:16], tuple(sorted(members)))
+            membership = Membership(new_request_id("group")[:16], tuple(sorted(member_ids)))
             _log.info("%s forms group %s with voters %s", core.own_id, membership.group, ", ".join(membership.voters))
+            # This replica is not leader yet; the entry commits after it has won an election by the usual rules.
             core.append_as_leader(MEMBERSHIP, membership.encode())
             core.elections_wakeup.wait(core.timing.heartbeat_s)
--- a/libs/arbutusrill_site/_places.py
+++ b/libs/arbutusrill_site/_places.py
@@ -24,13 +24,17 @@
 __all__ = ["PlaceLedger"]
 
 _MAX_SLOWNESS_FACTOR = 3.0  # bounds the weight of speed against memory use, in both directions
-_MAX_PREFILL_S = 0.75  # when no prefill engine ends within it, the decode engine runs the prefill despite its streams
+# If no prefill engine is expected to finish within this time, the decode engine runs the prefill, which pauses its
+# streams.
+_MAX_PREFILL_S = 0.75
 _FIRST_EVENT_DELAY_S = 0.12  # from the end of the prefill to the first event at the caller
 _UNRESPONSIVE_EXCLUSION_S = 1.5  # shortest exclusion of an engine that did not answer an entry VM
 _USABLE_MEMORY_FRACTION = 0.92  # of the KV cache memory of an engine
 _STREAM_START_DELAY_S = 0.2  # from the reservation to the start of the stream
-_CROSS_DATA_CENTRE_PENALTY_S = 0.05  # delay of a prefill that is accepted to stay in one data centre
-_MAX_QUEUED_PER_ENGINE = 1  # requests beyond its memory; an engine queues a few by itself
+# Added to the expected end of a prefill outside the decode engine's data centre; a prefill engine in the same one is
+# preferred if it finishes at most this much later.
+_CROSS_DATA_CENTRE_PENALTY_S = 0.05
+_MAX_QUEUED_PER_ENGINE = 1  # requests placed beyond its usable memory, which wait in the engine's own queue
 _RECHECK_INTERVAL_S = 0.1  # waiting requests become late without a notification, which changes their order
 _UNREPORTED_PLACE_TTL_S = 1.0  # a place that its holder does not report is freed after this age
 _events = EventLog("places")
@@ -42,7 +46,7 @@
 
     backend: str
     tokens: int
-    taken_at: float
+    taken_at: float  # monotonic clock
     service: str = ""
     output_tokens: int = 0  # the share of `tokens` that the output fills during the stream
     event_gap_s: float = 0.0  # longest pause between events that the caller accepts; 0 if unknown
@@ -63,7 +67,7 @@
     """Engine that refused a connection or exceeded the time limit of a prefill."""
 
     excluded_until: float  # monotonic clock
-    announcement: tuple[int, int]  # key of the latest one before the report
+    announcement_key: tuple[int, int]  # of its latest announcement before it was reported unresponsive
 
 
 class PlaceLedger:
@@ -87,7 +91,8 @@
         self._engine_of = engine_of
         self._is_complete = is_complete
         self._places_changed = threading.Condition()
-        self._numbers = itertools.count(1)
+        self._place_numbers = itertools.count(1)
+        # The holder is an entry VM and its incarnation; the inner key is the place number.
         self._places_by_holder: dict[tuple[str, int], dict[int, _Place]] = {}
         self._waiting_queue = WaitingQueue()
         self.speeds = EngineSpeeds()
@@ -105,7 +110,7 @@
         with self._places_changed:
             self._places_by_holder.clear()
             # Numbers from different terms must not collide, since places of the previous term are reported again.
-            self._numbers = itertools.count(term * 2**40 + 1)
+            self._place_numbers = itertools.count(term * 2**40 + 1)
             self._places_changed.notify_all()
 
     def place(self, request: Any) -> Any:
@@ -113,26 +118,29 @@
 
         A request that polls again keeps its position in the queue. A request whose expected wait exceeds
         `request.patience_ms` gets a position in the queue of an engine, or is refused at once with the wait expected.
-        Returns an empty reply when the service has no engines.
+        If no place was free in time, the reply holds only the expected wait. Returns an empty reply when the service
+        has no engines.
         """
-        engine = self._engine_of(request.service_name)
-        if engine is None:
+        engine_capacity = self._engine_of(request.service_name)
+        if engine_capacity is None:
             return messages.PlaceReply()
         now = self._clock.monotonic()
         deadline = now + request.wait_ms / 1000
         with self._places_changed:
             self._waiting_queue.drop_expired(now)
-            ticket = self._ticket_for(request, engine, now)
+            ticket = self._ticket_for(request, engine_capacity, now)
             expected_s = self._waiting_queue.expected_wait_s(
                 ticket, now, len(self._eligible_engines(request, "decode"))
             )
             while True:
-                found = (
-                    self._choose_decode_engine(request, engine) if self._waiting_queue.is_first(ticket, now) else None
+                decode = (
+                    self._choose_decode_engine(request, engine_capacity)
+                    if self._waiting_queue.is_first(ticket, now)
+                    else None
                 )
-                if found is not None:
+                if decode is not None:
                     self._leave_queue(request)
-                    return self._reserve_place(request, found, ticket.placement_deadline)
+                    return self._reserve_place(request, decode, ticket.placement_deadline)
                 if expected_s > request.patience_ms / 1000 and self._is_complete():
                     self._leave_queue(request)
                     return self._reserve_queue_position(request) or messages.PlaceReply(
@@ -145,14 +153,16 @@
                 self._places_changed.wait(min(deadline - now, _RECHECK_INTERVAL_S))
                 now = self._clock.monotonic()
 
-    def _ticket_for(self, request: Any, engine: Engine, now: float) -> Ticket:
+    def _ticket_for(self, request: Any, engine_capacity: Engine, now: float) -> Ticket:
         """Returns the ticket of a request; learns from new requests and from the prefill times in the call."""
-        for seen in request.prefills or []:
-            self.speeds.learn_prefill(seen.id, seen.took_s, seen.units, now)
+        for measured in request.prefills or []:
+            self.speeds.learn_prefill(measured.id, measured.took_s, measured.units, now)
         ticket = self._waiting_queue.resume(request, now)
         if ticket is None:
             output_tokens = output_tokens_of(request)
-            self.speeds.learn_request(request.service_name, request.prompt_tokens, output_tokens, engine.kv_tokens)
+            self.speeds.learn_request(
+                request.service_name, request.prompt_tokens, output_tokens, engine_capacity.kv_tokens
+            )
             ticket = self._waiting_queue.enqueue(request, now, self._first_event_s(request, now))
         return ticket
 
@@ -167,7 +177,7 @@
         self._waiting_queue.remove(request)
         self._places_changed.notify_all()
 
-    def _choose_decode_engine(self, request: Any, engine: Engine) -> Any | None:
+    def _choose_decode_engine(self, request: Any, engine_capacity: Engine) -> Any | None:
         """Returns the decode engine with the lowest memory utilisation times slowness, None when none has capacity.
 
         An engine in `request.avoid` is chosen only when all eligible engines are in it. An engine without places takes
@@ -180,22 +190,24 @@
         preferred = [record for record in eligible if record.id not in (request.avoid or ())]
         for record in preferred or eligible:
             held = places_by_backend.get(record.id, [])
-            after = sum(place.tokens for place in held) + request.memory_tokens
-            if len(held) >= engine.slots or (held and not self._fits_memory(request, record, held, engine, now)):
+            reserved_tokens = sum(place.tokens for place in held) + request.memory_tokens
+            if len(held) >= engine_capacity.slots or (
+                held and not self._fits_memory(request, record, held, engine_capacity, now)
+            ):
                 continue
             slowness = min(_MAX_SLOWNESS_FACTOR, max(1 / _MAX_SLOWNESS_FACTOR, self.speeds.slowness(record.id)))
-            cost = after / engine.kv_tokens * slowness
+            cost = reserved_tokens / engine_capacity.kv_tokens * slowness
             if cost < best_cost:
                 best, best_cost = record, cost
         return best
 
-    def _fits_memory(self, request: Any, record: Any, held: list[_Place], engine: Engine, now: float) -> bool:
+    def _fits_memory(self, request: Any, record: Any, held: list[_Place], engine_capacity: Engine, now: float) -> bool:
         """Whether the forecast memory peak of an engine with one more stream stays within its usable capacity."""
-        capacity = engine.kv_tokens * _USABLE_MEMORY_FRACTION
-        wanted = _new_place(request, record.id, now)
-        if sum(place.tokens for place in held) + wanted.tokens <= capacity:
+        capacity = engine_capacity.kv_tokens * _USABLE_MEMORY_FRACTION
+        new_place = _new_place(request, record.id, now)
+        if sum(place.tokens for place in held) + new_place.tokens <= capacity:
             return True
-        return peak_tokens([place.stream_load(self.speeds) for place in [*held, wanted]], now) <= capacity
+        return peak_tokens([place.stream_load(self.speeds) for place in [*held, new_place]], now) <= capacity
 
     def _eligible_engines(self, request: Any, stage: str) -> list[Any]:
         now = self._clock.monotonic()
@@ -219,10 +231,10 @@
 
     def _reserve_place(self, request: Any, decode: Any, placement_deadline: float) -> Any:
         now = self._clock.monotonic()
-        number = next(self._numbers)
-        holder = self._places_by_holder.setdefault((request.vm, request.incarnation), {})
+        number = next(self._place_numbers)
+        held_places = self._places_by_holder.setdefault((request.vm, request.incarnation), {})
         prefill = self._choose_prefill_engine(request, decode, now) if request.prefill else ""
-        holder[number] = _new_place(request, decode.id, now)
+        held_places[number] = _new_place(request, decode.id, now)
         _events.emit(
             "placed",
             request=request.request_id,
@@ -236,7 +248,10 @@
         return messages.PlaceReply(number, prefill, decode.id)
 
     def _reserve_queue_position(self, request: Any) -> Any | None:
-        """Reserves a position in the queue of an engine; returns None when each is occupied."""
+        """Reserves a position in the queue of an engine.
+
+        Returns None when no engine is eligible or all positions are occupied.
+        """
         count_by_backend = Counter(
             place.backend
             for places in self._places_by_holder.values()
@@ -253,10 +268,10 @@
         )
         if count_by_backend[best.id] >= _MAX_QUEUED_PER_ENGINE:
             return None
-        number = next(self._numbers)
-        holder = self._places_by_holder.setdefault((request.vm, request.incarnation), {})
+        number = next(self._place_numbers)
+        held_places = self._places_by_holder.setdefault((request.vm, request.incarnation), {})
         now = self._clock.monotonic()
-        holder[number] = _Place(best.id, request.memory_tokens, now, request.service_name, queued_at_engine=True)
+        held_places[number] = _Place(best.id, request.memory_tokens, now, request.service_name, queued_at_engine=True)
         self._local_prefills.record_start(best.id, request.prompt_tokens, now)
         _events.emit("placed_in_queue", request=request.request_id, vm_of=request.vm, decode=best.id)
         return messages.PlaceReply(number, "", best.id)
@@ -278,14 +293,14 @@
         if (
             best is None
             or best_end - now > _MAX_PREFILL_S
-            or self._decode_engine_prefills_sooner(request, decode, best_end, now)
+            or self._prefers_local_prefill(request, decode, best_end, now)
         ):
             self._local_prefills.record_start(decode.id, request.prompt_tokens, now)
             return ""
         self.speeds.speed_of(best.id, "prefill").add_prompt(request.prompt_tokens, now)
         return best.id
 
-    def _decode_engine_prefills_sooner(self, request: Any, decode: Any, prefill_end: float, now: float) -> bool:
+    def _prefers_local_prefill(self, request: Any, decode: Any, prefill_end: float, now: float) -> bool:
         """Whether the decode engine ends the prefill before `prefill_end` without pausing a stream for too long."""
         if now + self.speeds.local_prefill_s(request.prompt_tokens, decode.id) >= prefill_end:
             return False
@@ -298,8 +313,10 @@
             place = self._places_by_holder.get((freed.vm, freed.incarnation), {}).pop(freed.place, None)
             if place is not None:
                 self._waiting_queue.record_release(self._clock.monotonic())
-            for seen in freed.speeds or [] if place is not None else []:
-                self.speeds.learn_decode(seen.id, place.service, seen.took_s, seen.units, place.output_tokens)
+            for measured in freed.speeds or [] if place is not None else []:
+                self.speeds.learn_decode(
+                    measured.id, place.service, measured.took_s, measured.units, place.output_tokens
+                )
             if freed.unresponsive:
                 self._exclude_unresponsive(freed.unresponsive)
             self._places_changed.notify_all()
@@ -307,15 +324,19 @@
     def _exclude_unresponsive(self, engines: list[str]) -> None:
         excluded_until = self._clock.monotonic() + _UNRESPONSIVE_EXCLUSION_S
         record_by_id = {record.id: record for record in self._backends()}
-        known = {id_: row for id_, row in self._unresponsive_by_id.items() if id_ in record_by_id}
+        unresponsive_by_id = {
+            id_: exclusion for id_, exclusion in self._unresponsive_by_id.items() if id_ in record_by_id
+        }
         for id_ in record_by_id.keys() & set(engines):
-            known[id_] = _UnresponsiveEngine(excluded_until, _announcement_key(record_by_id[id_]))
-        self._unresponsive_by_id = known
+            unresponsive_by_id[id_] = _UnresponsiveEngine(excluded_until, _announcement_key(record_by_id[id_]))
+        self._unresponsive_by_id = unresponsive_by_id
 
     def _is_responsive(self, record: Any, now: float) -> bool:
-        """Whether an engine may be used: an excluded one only after the exclusion and a newer announcement."""
-        row = self._unresponsive_by_id.get(record.id)
-        return row is None or (now >= row.excluded_until and _announcement_key(record) > row.announcement)
+        """Whether an engine may be used: an unresponsive one only after its exclusion and a newer announcement."""
+        exclusion = self._unresponsive_by_id.get(record.id)
+        return exclusion is None or (
+            now >= exclusion.excluded_until and _announcement_key(record) > exclusion.announcement_key
+        )
 
     def reconcile_places(self, vm: str, incarnation: int, held: list[Any]) -> None:
         """Reconciles the places of an entry VM with its report.
@@ -324,19 +345,26 @@
         """
         now = self._clock.monotonic()
         with self._places_changed:
-            for other in [key for key in self._places_by_holder if key[0] == vm and key[1] != incarnation]:
-                del self._places_by_holder[other]
+            for holder in [holder for holder in self._places_by_holder if holder[0] == vm and holder[1] != incarnation]:
+                del self._places_by_holder[holder]
             places = self._places_by_holder.setdefault((vm, incarnation), {})
-            reported = {row.place for row in held}
-            for row in held:
-                taken_at = now - row.age_ms / 1000
-                gap_s = row.event_gap_ms / 1000
-                place = _Place(row.backend, row.tokens, taken_at, row.service_name, row.output_tokens, gap_s)
-                places.setdefault(row.place, place)
+            reported_numbers = {reported_place.place for reported_place in held}
+            for reported_place in held:
+                taken_at = now - reported_place.age_ms / 1000
+                gap_s = reported_place.event_gap_ms / 1000
+                place = _Place(
+                    reported_place.backend,
+                    reported_place.tokens,
+                    taken_at,
+                    reported_place.service_name,
+                    reported_place.output_tokens,
+                    gap_s,
+                )
+                places.setdefault(reported_place.place, place)
             unreported = [
-                key
-                for key, row in places.items()
-                if key not in reported and now - row.taken_at > _UNREPORTED_PLACE_TTL_S
+                number
+                for number, place in places.items()
+                if number not in reported_numbers and now - place.taken_at > _UNREPORTED_PLACE_TTL_S
             ]
             for number in unreported:
                 del places[number]
--- a/libs/arbutusrill_site/tests/test_places.py
+++ b/libs/arbutusrill_site/tests/test_places.py
@@ -310,8 +310,8 @@
         places.free(messages.FreePlace("vm", 1, held.place, [messages.EngineSpeed("d", 6.0, 100)], []))
     clock.advance(10.0)
     places.begin_term(2)
-    rows = [messages.HeldPlace(number, "d", 400, "model", 350, 5500) for number in (1, 2)]
-    places.reconcile_places("vm", 1, rows)
+    reported_places = [messages.HeldPlace(number, "d", 400, "model", 350, 5500) for number in (1, 2)]
+    places.reconcile_places("vm", 1, reported_places)
     request = place_request("new", tokens=400)
     request.prompt_tokens = 50
     assert places.place(request).place
