--- a/libs/arbutusrill_raft/_core.py
+++ b/libs/arbutusrill_raft/_core.py
@@ -19,12 +19,12 @@
 
 __all__ = ["Core", "InvariantError", "Progress", "Role"]
 
-_MAX_CLOCK_DRIFT_FRACTION = 0.05  # difference of two VMs' clocks, as a fraction of the measured time
+_MAX_CLOCK_DRIFT_FRACTION = 0.05  # largest difference of two VMs' clock rates, as a fraction of elapsed time
 _log = PartLog("raft")
 
 
 class InvariantError(Exception):
-    """A Raft safety property does not hold; the replica stops for good with a fault."""
+    """A Raft safety property does not hold; the replica stops permanently with a fault."""
 
 
 class Role(enum.Enum):
@@ -89,17 +89,18 @@
         self.durable_index = self.log.last_index
         self.unwritten_entries: list[Entry] = []  # in the log, not yet handed to the disk
         self.role = Role.FOLLOWER
-        self.leader = ""
+        self.leader = ""  # member ID, empty when unknown
         self.leader_of_term: tuple[int, str] = (0, "")  # latest term with a known leader, and that leader
         self.fault = ""
         self.stopping = False
         self.vote_round = 0  # incremented by each pre-vote and each vote; identifies late replies
         self.votes: set[str] = set()
         self.progress_by_peer: dict[str, Progress] = {}
+        # Valid only while this replica leads; set by `become_leader`.
         self.elected_at = 0.0
         self.first_index_of_term = 0
         self.uncommitted_bytes = 0
-        self.proposal_by_index: dict[int, tuple[int, Future]] = {}
+        self.proposal_by_index: dict[int, tuple[int, Future]] = {}  # term of the entry and the proposer's future
         # No vote is granted before this time: until its restart, the replica may have acknowledged a leader's message
         # and so extended that leader's lease.
         self.no_vote_until = alone_since + timing.lease_s * (1 + _MAX_CLOCK_DRIFT_FRACTION)
@@ -108,6 +109,7 @@
         can_vote_at = max(clock.monotonic(), self.no_vote_until)
         self._early_election_until = can_vote_at + timing.election_max_s
         self.election_due_at = can_vote_at + self._early_election_delay_s()
+        # Called with `lock` held after the latest membership may have changed.
         self.on_membership_change: Callable[[], None] = lambda: None
 
     @property
@@ -144,7 +146,7 @@
         return NotLeaderError(address_of(self.leader) if self.leader != self.own_id else "")
 
     def fail(self, reason: str) -> None:
-        """Stops the replica for good with the fault `reason`; its files stay as they are. Acquires `lock` itself."""
+        """Stops the replica permanently with the fault `reason`; its files stay as they are. Acquires `lock` itself."""
         with self.lock:
             if self.fault or self.stopping:
                 return
@@ -161,11 +163,14 @@
         self._fail_pending_proposals(lambda: LogUnavailableError("the replica stops", appended=True))
         self.wake_all()
 
-    def check_invariant(self, holds: bool, rule: str) -> None:
-        """Stops the replica with a fault and raises `InvariantError` unless `holds`; `rule` describes the invariant."""
+    def check_invariant(self, holds: bool, violation: str) -> None:
+        """Stops the replica with a fault and raises `InvariantError` unless `holds`.
+
+        `violation` names the invariant and how it is violated.
+        """
         if not holds:
-            self.fail(f"invariant broken: {rule}")
-            raise InvariantError(rule)
+            self.fail(f"invariant broken: {violation}")
+            raise InvariantError(violation)
 
     def require_running(self) -> None:
         """Raises `messages.Refused` when this replica has a fault or is stopping."""
@@ -201,7 +206,7 @@
         """Restarts the election timeout with a new random duration."""
         now = self.clock.monotonic()
         if self.role is Role.PRE_CANDIDATE and now < self._early_election_until:
-            # Replicas started at the same time may not be ready to vote yet and refuse the first request.
+            # Replicas started at the same time may refuse the first pre-vote, so it is repeated after a short delay.
             wait = self._early_election_delay_s()
         else:
             wait = random.uniform(self.timing.election_min_s, self.timing.election_max_s)
@@ -240,7 +245,7 @@
         self.record_leader_contact()
 
     def record_leader_contact(self) -> None:
-        """Records a message from the leader: restarts the election timeout and refuses votes for `election_min_s`."""
+        """Records a message from the leader: restarts the election timeout and grants no vote for `election_min_s`."""
         self.no_vote_until = self.clock.monotonic() + self.timing.election_min_s
         self.reset_election_timer()
 
@@ -304,7 +309,7 @@
         self.state_changed.notify_all()
 
     def advance_commit(self) -> None:
-        """On the leader, commits up to the last entry that a majority of voters has durably, if it is of this term."""
+        """On the leader, commits up to the last entry durable on a majority of voters, if it is of the current term."""
         if self.role is not Role.LEADER:
             return
         durable_indexes = [
--- a/libs/arbutusrill_raft/_log_threads.py
+++ b/libs/arbutusrill_raft/_log_threads.py
@@ -85,7 +85,7 @@
             except OSError as error:
                 core.fail(f"disk: {error}")
             except Exception as error:
-                _log.exception("the state machine raised an exception")
+                _log.exception("restoring, applying or snapshotting the state machine failed")
                 core.fail(f"state machine: {error!r}")
 
     def _has_work(self) -> bool:
@@ -106,21 +106,25 @@
         if entry.kind == COMMAND:
             try:
                 result = core.state_machine.apply(entry.data)
-            except Exception as error:  # deterministic: every replica skips the same entry
-                _log.exception("the state machine rejected entry %d by an exception", entry.index)
+            except Exception as error:  # `apply` is deterministic, so every replica skips this entry
+                _log.exception("the state machine raised an exception for entry %d; the entry is skipped", entry.index)
                 result = error
         with core.lock:
             core.applied_index = entry.index
             self._applied_bytes += entry.memory_bytes
             self._applied_count += 1
             if entry.kind == MEMBERSHIP and core.role is Role.LEADER and not core.is_voter:
+                # Before `step_down`, which fails all pending proposals.
                 core.complete_proposal(entry, result)
                 core.step_down(core.term, "it was removed from the group")
             core.complete_proposal(entry, result)
             core.state_changed.notify_all()
 
     def _snapshot_if_due(self) -> None:
-        """Saves a snapshot and drops the log that it covers when `Bounds.compact_*` are reached."""
+        """Saves a snapshot and drops the log that it covers.
+
+        Does so once `Bounds.compact_bytes` or `Bounds.compact_entries` have been applied since the latest one.
+        """
         core = self._core
         if self._applied_bytes < core.bounds.compact_bytes and self._applied_count < core.bounds.compact_entries:
             return
--- a/libs/arbutusrill_raft/_membership_changes.py
+++ b/libs/arbutusrill_raft/_membership_changes.py
@@ -16,7 +16,7 @@
 
 __all__ = ["MembershipChanges"]
 
-_MAX_LEARNER_SILENCE_S = 1.0  # a learner that has been silent for longer is not promoted
+_MAX_LEARNER_ACK_AGE_S = 1.0  # a learner whose latest acknowledged message was sent earlier is not promoted
 _log = PartLog("raft")
 
 
@@ -63,7 +63,10 @@
         self._commit_change(lambda members: members.without(member), core.clock.monotonic() + timeout)
 
     def replace(self, old: str, new: str, timeout: float) -> str:
-        """Adds the replica at RPC address `new`, makes it a voter, then removes member `old`."""
+        """Adds the replica at RPC address `new`, makes it a voter, then removes member `old`; returns the new ID.
+
+        A repeated call continues an interrupted replacement.
+        """
         core = self._core
         deadline = core.clock.monotonic() + timeout
         member = self._fetch_member_id(new)
@@ -81,15 +84,18 @@
         return member
 
     @staticmethod
-    def _member_to_remove(members: Membership, old: str, new: str) -> str | None:
-        """Returns the member that `old` names, or None when an earlier attempt has already removed it."""
+    def _member_to_remove(members: Membership, old: str, new_member: str) -> str | None:
+        """Returns the member other than `new_member` that `old` (ID or RPC address) names, or None if there is none.
+
+        None may mean that an earlier attempt has removed it. `new_member` is returned if `old` is its ID.
+        """
         named = [member for member in members.members if old in (member, address_of(member))]
-        others = [member for member in named if member != new]
+        others = [member for member in named if member != new_member]
         if len(others) > 1:
             raise MembershipError(f"{old!r} names several members: {', '.join(others)}; give the whole ID")
         if others:
             return others[0]
-        return new if old == new else None
+        return new_member if old == new_member else None
 
     def _fetch_member_id(self, address: str) -> str:
         """Asks the replica at `address` for its member ID.
@@ -118,7 +124,7 @@
         progress = core.progress_by_peer.get(member)
         if progress is None:
             raise MembershipError(f"{member} is no member any more")
-        is_responsive = core.clock.monotonic() - progress.acked_sent_at < _MAX_LEARNER_SILENCE_S
+        is_responsive = core.clock.monotonic() - progress.acked_sent_at < _MAX_LEARNER_ACK_AGE_S
         return is_responsive and progress.match_index >= target_index
 
     def _commit_change(self, transform: Callable[[Membership], Membership], deadline: float) -> None:
@@ -151,8 +157,8 @@
     def _wait_as_leader(self, condition: Callable[[], bool], deadline: float, problem: str) -> None:
         """Waits until `condition` holds; `core.lock` must be held.
 
-        Raises `NotLeaderError` when this replica does not lead, and `LogUnavailableError` when it stops, or with
-        `problem` at the deadline.
+        With a condition that always holds, only checks that this replica leads. Raises `NotLeaderError` when it does
+        not lead, and `LogUnavailableError` when it stops, or with `problem` at the deadline.
         """
         core = self._core
         while True:
--- a/libs/arbutusrill_raft/_peer.py
+++ b/libs/arbutusrill_raft/_peer.py
@@ -21,7 +21,10 @@
 
 @dataclass(slots=True)
 class _Call:
-    """A call to the peer. `on_reply` handles request, reply and send time, with `core.lock` held."""
+    """A call to the peer.
+
+    `name` is the RPC method; `on_reply` is called with request, reply and send time while `core.lock` is held.
+    """
 
     name: str
     request: Any
@@ -31,7 +34,10 @@
 
 @dataclass(slots=True)
 class _SnapshotTransfer:
-    """A snapshot file that is being sent to the peer; `size` and `offset` in bytes."""
+    """A snapshot file that is being sent to the peer.
+
+    `index` is the last entry that it covers; `size` and `offset` are in bytes.
+    """
 
     name: str
     index: int
@@ -48,10 +54,10 @@
         self._core = core
         self._elections = elections
         self._transport = transport
-        self._requested_round = 0
+        self._requested_round = 0  # vote round of the latest request, 0 to send one again
         self._append_sent_at = float("-inf")
         self._retry_not_before = float("-inf")
-        self._append_term = 0
+        self._append_term = 0  # term of the latest append, to which `_snapshot_transfer` belongs
         self._snapshot_transfer: _SnapshotTransfer | None = None
 
     def run(self) -> None:
@@ -113,7 +119,10 @@
         return None
 
     def _append_delay_s(self, now: float) -> float:
-        """Returns the seconds until the next append or heartbeat is due; resets the transfer in a new term."""
+        """Returns the seconds until the next append or heartbeat, 0 or less if it is due.
+
+        Discards the snapshot transfer in a new term.
+        """
         core = self._core
         if self._append_term != core.term:
             self._append_term = core.term
@@ -179,7 +188,10 @@
             progress.next_index = max(progress.match_index + 1, retry_index)
 
     def _record_ack(self, request: Any, sent_at: float) -> Progress | None:
-        """Records a reply in the term of its request; returns None when this replica no longer leads that term."""
+        """Records that the peer has acknowledged `request` and returns its progress.
+
+        Returns None if this replica no longer leads the term of the request or the peer is no longer a member.
+        """
         core = self._core
         progress = core.progress_by_peer.get(self.member)
         if core.role is not Role.LEADER or core.term != request.term or progress is None:
@@ -194,7 +206,7 @@
             name = core.storage.latest_snapshot()
             index = int(name.removeprefix("snapshot-"))
             self._snapshot_transfer = _SnapshotTransfer(name, index, core.storage.snapshot_size(name))
-            _log.info("%s: sending %s, %d bytes", self.member, name, self._snapshot_transfer.size)
+            _log.info("snapshot transfer to %s: %s, %d bytes", self.member, name, self._snapshot_transfer.size)
         transfer = self._snapshot_transfer
         try:
             data = core.storage.read_snapshot(transfer.name, transfer.offset, core.bounds.chunk_bytes)
--- a/libs/arbutusrill_raft/_receiver.py
+++ b/libs/arbutusrill_raft/_receiver.py
@@ -25,7 +25,7 @@
         self._received_bytes = 0
 
     def hello(self, caller: str) -> Any:
-        """Returns this replica's member ID, its group and its fault."""
+        """Returns this replica's member ID, group ID and fault; the last two are empty when there is none."""
         core = self._core
         with core.lock:
             members = core.membership
@@ -76,14 +76,16 @@
                 if request.previous_index < core.log.base_index:
                     # Committed entries equal those of the leader, which can continue after them.
                     return messages.AppendReply(core.term, True, min(core.commit_index, core.durable_index))
-                hint = self._conflict_hint(request)
-                if hint is not None:
-                    return messages.AppendReply(core.term, False, hint)
-                rows = request.entries or []
-                core.append_received([Entry(row.index, row.term, row.kind, row.data or b"") for row in rows])
+                retry_after_index = self._retry_after_index(request)
+                if retry_after_index is not None:
+                    return messages.AppendReply(core.term, False, retry_after_index)
+                received_entries = request.entries or []
+                core.append_received(
+                    [Entry(entry.index, entry.term, entry.kind, entry.data or b"") for entry in received_entries]
+                )
             except InvariantError as error:
                 raise messages.Refused("faulty", str(error)) from None
-            matched = request.previous_index + len(rows)
+            matched = request.previous_index + len(received_entries)
             self._wait_durable(matched)
             core.require_running()
             if core.term != request.term:
@@ -93,7 +95,7 @@
             core.commit_up_to(max(core.commit_index, min(request.commit_index, durable)))
             return messages.AppendReply(core.term, True, durable)
 
-    def _conflict_hint(self, request: Any) -> int | None:
+    def _retry_after_index(self, request: Any) -> int | None:
         """Returns None when the log has the previous entry, else the index after which the leader should retry.
 
         Raises `InvariantError` when both logs have that entry in the same term, but their running hashes differ.
@@ -150,10 +152,10 @@
 
     def _is_next_chunk(self, request: Any) -> bool:
         """Returns whether the chunk continues the transfer; a chunk at offset 0 starts a new one."""
-        key = (request.leader, request.last_index, request.last_term)
+        snapshot_id = (request.leader, request.last_index, request.last_term)
         if request.offset == 0:
-            self._incoming_snapshot, self._received_bytes = key, 0
-        elif key != self._incoming_snapshot:
+            self._incoming_snapshot, self._received_bytes = snapshot_id, 0
+        elif snapshot_id != self._incoming_snapshot:
             self._received_bytes = 0
         return request.offset == self._received_bytes
 
--- a/libs/arbutusrill_raft/_replica.py
+++ b/libs/arbutusrill_raft/_replica.py
@@ -38,7 +38,10 @@
 
 @dataclass(slots=True)
 class MemberStatus:
-    """A member as its leader sees it; `silent_s` is the seconds since its last acknowledged message, -1 for none."""
+    """A member as its leader sees it.
+
+    `silent_s` is the seconds since the leader sent the latest message that the member acknowledged, -1 for none.
+    """
 
     id: str
     address: str
@@ -51,9 +54,9 @@
 class Replica(ReplicatedLog):
     """A replica of the log, used as a context manager: its threads run while the context is entered.
 
-    `address` is its RPC address, where `handler` must be served as the IDL's `Raft` service. `initial` lists the
-    RPC addresses of the group's first voters; it is used only until the group has formed. `alone_since` is a time on
-    `clock` (a `BootClock` by default) since which no other process has used `folder`, such as the start of this
+    `address` is its RPC address, where `handler` must be served as the IDL's `Raft` service. `initial_voters` lists
+    the RPC addresses of the group's first voters; it is used only until the group has formed. `alone_since` is a time
+    on `clock` (a `BootClock` by default) since which no other process has used `folder`, such as the start of this
     process; by default it is the current time. The replica grants no vote and starts no election until a lease that
     an earlier process may have extended before that time has expired. Raises `StorageError` when the files in
     `folder` cannot be used.
@@ -62,7 +65,7 @@
     def __init__(
         self,
         address: str,
-        initial: list[str],
+        initial_voters: list[str],
         folder: Folder | str,
         machine: StateMachine,
         transport: Transport | None = None,
@@ -88,7 +91,7 @@
         except BaseException:
             folder.close()
             raise
-        self._elections = Elections(self._core, self._transport, initial, address)
+        self._elections = Elections(self._core, self._transport, initial_voters, address)
         self._membership_changes = MembershipChanges(self._core, self._transport)
         self._peer_by_member: dict[str, Peer] = {}
         self._threads: list[threading.Thread] = []
@@ -114,14 +117,14 @@
             self._storage.close()
 
     def _start_thread(self, name: str, run: Callable[[], None]) -> None:
-        def guarded() -> None:
+        def run_and_fail_on_error() -> None:
             try:
                 run()
             except Exception as error:
                 _log.exception("thread %s failed", name)
                 self._core.fail(f"thread {name}: {error!r}")
 
-        thread = threading.Thread(target=guarded, name=f"raft-{name}", daemon=True)
+        thread = threading.Thread(target=run_and_fail_on_error, name=f"raft-{name}", daemon=True)
         self._threads = [old for old in self._threads if old.is_alive()] + [thread]
         thread.start()
 
@@ -163,28 +166,33 @@
             raise LogUnavailableError("no quorum has stored the change in time", appended=True) from None
 
     def confirm(self, timeout: float) -> None:
-        """Returns once this replica has proven that it led at some time after the start of the call.
+        """Returns once this replica has proven that it led during the call and has applied all entries committed then.
 
         Needs no further messages while the leader holds a lease, which lasts for `Timing.lease_s` seconds after the
         send time of messages that a majority has acknowledged.
         """
         core = self._core
-        started = core.clock.monotonic()
+        started_at = core.clock.monotonic()
         with core.lock:
             self._require_leader()
             term = core.term
-            self._wait_until(lambda: self._is_leadership_proven(started, term), started + timeout)
+            self._wait_until(lambda: self._is_leadership_proven(started_at, term), started_at + timeout)
             index = core.commit_index
-            self._wait_until(lambda: core.applied_index >= index, started + timeout)
+            self._wait_until(lambda: core.applied_index >= index, started_at + timeout)
 
-    def _is_leadership_proven(self, started: float, term: int) -> bool:
-        """Returns whether a lease or a majority's acknowledgement since `started` proves the leadership of `term`."""
+    def _is_leadership_proven(self, since: float, term: int) -> bool:
+        """Returns whether this replica has proven that it leads `term`.
+
+        The proof is a valid lease, or a majority's acknowledgement of messages sent at `since` or later. Raises
+        `NotLeaderError` when this replica does not lead that term.
+        """
         core = self._core
         if core.term != term or core.role is not Role.LEADER:
             self._require_leader()
+            # This replica leads again, but in a later term.
             raise core.not_leader_error()
         sent_at = core.quorum_acked_sent_at()
-        return core.is_ready_leader and (sent_at >= started or core.clock.monotonic() < sent_at + core.timing.lease_s)
+        return core.is_ready_leader and (sent_at >= since or core.clock.monotonic() < sent_at + core.timing.lease_s)
 
     def _wait_until(self, condition: Callable[[], bool], deadline: float) -> None:
         core = self._core
@@ -229,15 +237,17 @@
         with core.lock:
             self._require_leader()
             now = core.clock.monotonic()
-            rows = []
+            statuses = []
             for member in core.membership.members:
                 progress = core.progress_by_peer.get(member)
-                match = core.durable_index if progress is None else progress.match_index
-                silent = 0.0 if progress is None else now - progress.acked_sent_at
+                match_index = core.durable_index if progress is None else progress.match_index
+                silent_s = 0.0 if progress is None else now - progress.acked_sent_at
                 kind = "voter" if member in core.membership.voters else "learner"
-                silent = -1.0 if silent == float("inf") else silent
-                rows.append(MemberStatus(member, address_of(member), kind, member == core.own_id, match, silent))
-            return rows
+                silent_s = -1.0 if silent_s == float("inf") else silent_s
+                statuses.append(
+                    MemberStatus(member, address_of(member), kind, member == core.own_id, match_index, silent_s)
+                )
+            return statuses
 
     def add_learner(self, address: str, timeout: float) -> str:
         """Adds the replica at an RPC address as a learner and returns its member ID.
--- a/libs/arbutusrill_raft/_storage.py
+++ b/libs/arbutusrill_raft/_storage.py
@@ -37,8 +37,8 @@
 class Storage:
     """Files of one replica. Unless noted, changes are durable on return; all methods may raise `OSError`.
 
-    `append`, `install_received_snapshot` and `remove_segments_before` must be called by one thread at a time, and so
-    must `save_term_and_vote`.
+    `append`, `install_received_snapshot`, `remove_segments_before` and `remove_all_segments` must be called by one
+    thread at a time, and so must `save_term_and_vote`.
     """
 
     def __init__(self, folder: Folder, address: str):
@@ -115,35 +115,36 @@
 
     def _load_log(self, log: EntryLog) -> None:
         self._segments = [name for name in self._folder.names() if name.startswith("log-")]
-        conflict = False
+        conflicts_with_snapshot = False
         for name in self._segments:
             data = self._folder.read(name)
-            entries, intact = read_entries(data, name, may_be_torn=name == self._segments[-1])
-            if intact < len(data):
-                _log.warning("%s: truncated %d bytes of a torn write", name, len(data) - intact)
-                self._folder.truncate(name, intact)
-            self._segment_size = intact
+            entries, intact_bytes = read_entries(data, name, may_be_torn=name == self._segments[-1])
+            if intact_bytes < len(data):
+                _log.warning("%s: truncated %d bytes of a torn write", name, len(data) - intact_bytes)
+                self._folder.truncate(name, intact_bytes)
+            self._segment_size = intact_bytes
             for entry in entries:
-                conflict = self._replay(log, entry, name, conflict)
-        if conflict:
+                conflicts_with_snapshot = self._replay(log, entry, name, conflicts_with_snapshot)
+        if conflicts_with_snapshot:
             log.truncate_from(log.base_index + 1)
             self.remove_all_segments()
 
-    def _replay(self, log: EntryLog, entry: Entry, name: str, conflict: bool) -> bool:
+    def _replay(self, log: EntryLog, entry: Entry, name: str, conflicts_with_snapshot: bool) -> bool:
         """Adds one entry read from a segment; returns whether the log conflicts with the snapshot.
 
-        A conflicting log is dropped as a whole, because its entry at the snapshot's last index has another term.
+        Only the entry at the snapshot's last index decides; for others, returns `conflicts_with_snapshot`. A
+        conflicting log is dropped as a whole, because its entry at the snapshot's last index has another term.
         """
         if entry.index <= log.last_index:
             log.truncate_from(max(entry.index, log.base_index + 1))
         if entry.index == log.base_index:
             return entry.term != log.base_term
         if entry.index < log.base_index:
-            return conflict
+            return conflicts_with_snapshot
         if entry.index != log.last_index + 1:
             raise CorruptError(f"{name}: entry {entry.index} follows entry {log.last_index}, some are missing")
         log.append(entry)
-        return conflict
+        return conflicts_with_snapshot
 
     def append(self, entries: list[Entry]) -> None:
         """Writes `entries` as one frame. They replace entries written earlier from the first one's index on."""
--- a/libs/arbutusrill_raft/tests/group.py
+++ b/libs/arbutusrill_raft/tests/group.py
@@ -183,14 +183,14 @@
     def __init__(self, count=3, timing=QUICK_TIMING, bounds=None, seed=1):
         self.rng = random.Random(seed)
         self.timing, self.bounds = timing, bounds or Bounds()
-        self.initial = [f"10.0.0.{number + 1}:7400" for number in range(count)]
+        self.initial_voters = [f"10.0.0.{number + 1}:7400" for number in range(count)]
         self.disks, self.machines, self.replicas = {}, {}, {}
         self.blocked_links = set()  # pairs (source, destination) of addresses
         self.max_sync_s = 0.0
         self.loss_probability = self.duplicate_probability = self.max_delay_s = 0.0
 
     def __enter__(self):
-        for address in self.initial:
+        for address in self.initial_voters:
             self.start(address)
         return self
 
@@ -203,7 +203,9 @@
         disk.max_sync_s = self.max_sync_s
         machine = self.machines[address] = ListMachine()
         transport = FaultyTransport(self, address)
-        replica = Replica(address, self.initial, disk, machine, transport, clock, self.timing, self.bounds, alone_since)
+        replica = Replica(
+            address, self.initial_voters, disk, machine, transport, clock, self.timing, self.bounds, alone_since
+        )
         self.replicas[address] = replica
         return replica.__enter__()
 
--- a/libs/arbutusrill_raft/tests/test_random.py
+++ b/libs/arbutusrill_raft/tests/test_random.py
@@ -89,7 +89,7 @@
             ["cut", "block_inbound", "block_outbound", "kill", "kill_leader", "kill_all", "lose_disk", "lossy"]
         )
         self.injected.append(kind)
-        address = self.rng.choice(self.group.initial)
+        address = self.rng.choice(self.group.initial_voters)
         if kind == "kill_leader":
             address = next((a for a, replica in self.group.replicas.items() if replica.is_leader()), address)
         getattr(self, f"_{kind}", self._kill)(address)
@@ -116,9 +116,9 @@
     def _kill_all(self, last):
         """Power failure of all replicas; one, the leader if there is one, restarts last, with or without a delay."""
         last = next((a for a, replica in self.group.replicas.items() if replica.is_leader()), last)
-        for address in self.group.initial:
+        for address in self.group.initial_voters:
             self.group.kill(address)
-        for address in self.group.initial:
+        for address in self.group.initial_voters:
             if address != last:
                 self.group.start(address)
         time.sleep(self.rng.choice([0.0, 2 * self.group.timing.election_max_s]))
@@ -127,7 +127,7 @@
     def _lose_disk(self, address):
         """Loses and replaces the disk of a replica, then at once that of another one."""
         self._repair(address)
-        other = self.rng.choice([other for other in self.group.initial if other != address])
+        other = self.rng.choice([other for other in self.group.initial_voters if other != address])
         self._repair(other)
 
     def _repair(self, address):
@@ -155,11 +155,11 @@
 def check_invariants(group, clients):
     """Checks that every accepted entry was applied once, in an order that respects real time."""
     group.heal()
-    for address in set(group.initial) - set(group.replicas):
+    for address in set(group.initial_voters) - set(group.replicas):
         group.start(address)
     group.propose(b"last")
     group.wait_equal()
-    items = group.machines[group.initial[0]].items
+    items = group.machines[group.initial_voters[0]].items
     position = {item: number for number, item in enumerate(items)}
     assert len(position) == len(items), "an entry was applied twice"
     assert not clients.problems
--- a/libs/arbutusrill_raft/tests/test_replica.py
+++ b/libs/arbutusrill_raft/tests/test_replica.py
@@ -39,12 +39,12 @@
 def test_group_does_not_form_before_all_initial_voters_answer():
     # If a majority sufficed, a second group could form without the entries of the first one.
     group = Group()
-    group.start(group.initial[0])
-    group.start(group.initial[1])
+    group.start(group.initial_voters[0])
+    group.start(group.initial_voters[1])
     try:
         time.sleep(1.0)
         assert not any(replica.status().voters for replica in group.replicas.values())
-        group.start(group.initial[2])
+        group.start(group.initial_voters[2])
         assert group.propose(b"a") == b"1"
     finally:
         group.__exit__()
@@ -54,9 +54,9 @@
     with Group() as group:
         items = entries(10)
         propose_all(group, items)
-        for address in group.initial:
+        for address in group.initial_voters:
             group.kill(address)
-        for address in group.initial:
+        for address in group.initial_voters:
             group.start(address)
         group.propose(b"later")
         group.wait_equal([*items, b"later"])
@@ -82,7 +82,7 @@
         assert caught.value.appended
         with pytest.raises((NotLeaderError, LogUnavailableError)):
             group.replicas[old].confirm(0.1)
-        rest = [address for address in group.initial if address != old]
+        rest = [address for address in group.initial_voters if address != old]
         group.replicas[group.leader(rest)].propose(b"b", WAIT_TIMEOUT_S)
         group.heal()
         group.wait_equal([b"a", b"b"])
@@ -118,7 +118,7 @@
     with Group() as group:
         old = group.leader()
         group.cut(old)
-        group.leader([address for address in group.initial if address != old])
+        group.leader([address for address in group.initial_voters if address != old])
         with pytest.raises((NotLeaderError, LogUnavailableError)):
             group.replicas[old].confirm(0.2)
 
@@ -246,7 +246,7 @@
         )  # no step-down meanwhile
         for number in (8, 9):
             group.start(f"10.0.0.{number}:7400")
-        group.blocked_links = {(leader, other) for other in group.initial}
+        group.blocked_links = {(leader, other) for other in group.initial_voters}
         with pytest.raises(LogUnavailableError) as caught:
             replica.add_learner("10.0.0.8:7400", 0.05)
         assert caught.value.appended
@@ -369,7 +369,7 @@
         status = group.replicas[leader].status()
         assert "no space left" in status.fault
         assert status.role == "faulty"
-        rest = [address for address in group.initial if address != leader]
+        rest = [address for address in group.initial_voters if address != leader]
         group.replicas[group.leader(rest)].propose(b"y", WAIT_TIMEOUT_S)
         assert refusal_code(group.replicas[leader].handler.vote, messages.VoteRequest(99, "a/b", target=status.replica))
         setattr(group.disks[leader], kind, None)
@@ -410,7 +410,7 @@
         group.start(second)
         time.sleep(2 * group.timing.election_max_s)
         assert not any(replica.is_leader() for replica in group.replicas.values())
-        for address in set(group.initial) - set(group.replicas):
+        for address in set(group.initial_voters) - set(group.replicas):
             group.start(address)
         group.propose(b"later")
         assert group.machines[group.leader()].items == [*entries(10), b"later"]
@@ -461,7 +461,7 @@
         group.kill(new)
         leader = group.replicas[group.leader()]
         with pytest.raises(LogUnavailableError):
-            time.sleep(1.1)
+            time.sleep(1.1)  # longer than `_MAX_LEARNER_ACK_AGE_S`
             leader.promote(new, 0.3)
         assert len(leader.status().voters) == 3
 
@@ -469,17 +469,17 @@
 def test_replica_of_another_group_is_refused():
     with Group() as group, Group(1) as other:
         other.propose(b"b")
-        group.replicas["10.0.0.9:7400"] = other.replicas[other.initial[0]]
+        group.replicas["10.0.0.9:7400"] = other.replicas[other.initial_voters[0]]
         try:
             with pytest.raises(MembershipError, match="belongs to group"):
-                group.replicas[group.leader(group.initial)].add_learner("10.0.0.9:7400", 5)
+                group.replicas[group.leader(group.initial_voters)].add_learner("10.0.0.9:7400", 5)
         finally:
             del group.replicas["10.0.0.9:7400"]
 
 
 def test_last_voter_cannot_be_removed():
     with Group(1) as group, pytest.raises(MembershipError, match="last voter"):
-        group.replicas[group.leader()].remove(group.initial[0], 5)
+        group.replicas[group.leader()].remove(group.initial_voters[0], 5)
 
 
 def test_exception_of_the_state_machine_does_not_stop_the_replicas():
--- a/libs/arbutusrill_raft/tests/test_storage.py
+++ b/libs/arbutusrill_raft/tests/test_storage.py
@@ -33,7 +33,7 @@
     return Storage(disk, ADDRESS).load().log
 
 
-def rows(log):
+def entry_tuples(log):
     return [
         (index, log.term_at(index), log.entry_at(index).data) for index in range(log.base_index + 1, log.last_index + 1)
     ]
@@ -48,7 +48,7 @@
     storage = write_batches(disk, [[entry(1), entry(2)], [entry(3)]])
     again = Storage(disk.crash(random.Random(1)), ADDRESS)
     assert (again.term, again.vote, again.disk_id) == (9, "someone", storage.disk_id)
-    assert rows(again.load().log) == [(number, 1, entry(number).data) for number in (1, 2, 3)]
+    assert entry_tuples(again.load().log) == [(number, 1, entry(number).data) for number in (1, 2, 3)]
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -88,7 +88,7 @@
 def test_entry_replaces_earlier_ones_from_its_index():
     disk = MemoryDisk()
     write_batches(disk, [[entry(1), entry(2), entry(3)], [entry(2, term=4)]])
-    assert [row[:2] for row in rows(reload_log(disk))] == [(1, 1), (2, 4)]
+    assert [item[:2] for item in entry_tuples(reload_log(disk))] == [(1, 1), (2, 4)]
 
 
 def test_snapshot_and_compaction_keep_the_tail(monkeypatch):
@@ -100,7 +100,7 @@
     assert len([name for name in disk.names() if name.startswith("log-")]) < 8
     stored = Storage(disk, ADDRESS).load()
     assert (stored.snapshot.data, stored.log.chain_at(15)) == (b"state", 77)
-    assert [row[0] for row in rows(stored.log)] == list(range(16, 21))
+    assert [item[0] for item in entry_tuples(stored.log)] == list(range(16, 21))
 
 
 def test_log_that_conflicts_with_a_received_snapshot_is_dropped():
--- a/libs/arbutusrill_state/_config.py
+++ b/libs/arbutusrill_state/_config.py
@@ -15,12 +15,14 @@
 
 __all__ = ["ConfigState"]
 
-_MAX_FIRST_ANSWERS = 10_000  # five days at the target of 2,000 changes per day
+_MAX_FIRST_OUTCOMES = 10_000  # five days at the target of 2,000 changes per day
 
 
 class ConfigState:
     """State machine of defaults, exceptions, workspaces, keys, services, VMs, pools and orders.
 
+    An exception overrides a default in one scope; an order is an action for a server, such as loading a model.
+
     The same commands in the same order give the same state on every replica, because nothing here reads a clock or
     uses random numbers. Readers on other threads see each change atomically.
     """
@@ -32,10 +34,11 @@
     def _clear(self) -> None:
         self.revision = 0
         self.feature_level = 1
+        # Latest `at_ms` of the accepted changes; keeps the times of orders from decreasing.
         self.clock_ms = 0
         self.defaults_by_name: dict[str, str] = {}
         self.exceptions_by_id: dict[str, Any] = {}
-        # Ids by (default, scope kind, scope name), oldest first; the inner dict is an ordered set.
+        # Exception IDs by (default, scope kind, scope name); the inner dict is a set in order of addition.
         self._exception_ids_by_scope: dict[tuple[str, str, str], dict[str, None]] = {}
         self.workspaces_by_name: dict[str, Any] = {}
         self.keys_by_hash: dict[str, Any] = {}
@@ -43,21 +46,24 @@
         self.vms_by_id: dict[str, Any] = {}
         self.pools_by_name: dict[str, Any] = {}
         self.orders_by_id: dict[str, Any] = {}
-        self.first_answers_by_id: OrderedDict[str, Any] = OrderedDict()
+        self.first_outcomes_by_request_id: OrderedDict[str, Any] = OrderedDict()
 
     def apply(self, command: Any) -> Any:
-        """Applies a `Command` and returns its `Outcome`; a resent command gets its first outcome."""
+        """Applies a `Command` and returns its `Outcome`.
+
+        A command with a known request ID is not applied again and gets its first outcome.
+        """
         problem = check_envelope(command)
         if problem is not None:
             return messages.Outcome(False, self.revision, "bad_command", problem)
         with self.lock:
-            first_outcome = self.first_answers_by_id.get(command.request_id)
+            first_outcome = self.first_outcomes_by_request_id.get(command.request_id)
             if first_outcome is not None:
                 return first_outcome
             outcome = self._apply_new(command)
-            self.first_answers_by_id[command.request_id] = outcome
-            while len(self.first_answers_by_id) > _MAX_FIRST_ANSWERS:
-                self.first_answers_by_id.popitem(last=False)
+            self.first_outcomes_by_request_id[command.request_id] = outcome
+            while len(self.first_outcomes_by_request_id) > _MAX_FIRST_OUTCOMES:
+                self.first_outcomes_by_request_id.popitem(last=False)
             return outcome
 
     def _apply_new(self, command: Any) -> Any:
@@ -188,10 +194,10 @@
     def _put_order(self, change: Any, command: Any) -> None:
         check_order(self.orders_by_id.get(change.id), change)
         if change.id not in self.orders_by_id and len(self.orders_by_id) >= MAX_ORDERS:
-            ended = next((key for key, row in self.orders_by_id.items() if self._is_droppable(row)), None)
-            if ended is None:
+            dropped_id = next((id_ for id_, order in self.orders_by_id.items() if self._is_droppable(order)), None)
+            if dropped_id is None:
                 raise RejectedError("too_many", f"{MAX_ORDERS} orders are under way")
-            del self.orders_by_id[ended]
+            del self.orders_by_id[dropped_id]
         # Kept in order of the last change, so that orders that ended first are dropped first.
         self.orders_by_id.pop(change.id, None)
         fields = {name: value for name, value in vars(change).items() if name != "at_ms"}
@@ -204,8 +210,11 @@
         if order.action != "drain" or order.state != "done":
             return True
         return any(
-            row.action == "resume" and row.server == order.server and row.pool == order.pool and row.state == "done"
-            for row in self.orders_by_id.values()
+            other.action == "resume"
+            and other.server == order.server
+            and other.pool == order.pool
+            and other.state == "done"
+            for other in self.orders_by_id.values()
         )
 
     def _set_feature_level(self, change: Any, _: Any) -> None:
@@ -260,7 +269,7 @@
             return values[0], values[1]
 
     def share_weight(self, workspace: str) -> float:
-        """Returns a workspace's weight in fair sharing: its own weight times its rate in tokens/s.
+        """Returns a workspace's weight in fair sharing: its configured weight times its rate in tokens/s.
 
         Without the rate, workspaces within their rates would get equal shares at a peak however different the rates
         are, and the largest workspace would be refused most. An unknown workspace has the default rate as its weight.
@@ -276,7 +285,7 @@
         with self.lock:
             answers = []
             if with_first_answers:
-                answers = [messages.FirstAnswer(key, value) for key, value in self.first_answers_by_id.items()]
+                answers = [messages.FirstAnswer(key, value) for key, value in self.first_outcomes_by_request_id.items()]
             return messages.ConfigSnapshot(
                 self.revision,
                 dict(self.defaults_by_name),
@@ -308,4 +317,6 @@
             self.vms_by_id.update((record.id, record) for record in snapshot.vms)
             self.pools_by_name.update((record.name, record) for record in snapshot.pools)
             self.orders_by_id.update((record.id, record) for record in snapshot.orders)
-            self.first_answers_by_id.update((answer.request_id, answer.outcome) for answer in snapshot.first_answers)
+            self.first_outcomes_by_request_id.update(
+                (answer.request_id, answer.outcome) for answer in snapshot.first_answers
+            )
--- a/libs/arbutusrill_state/_follower.py
+++ b/libs/arbutusrill_state/_follower.py
@@ -16,13 +16,13 @@
 __all__ = ["Follower", "VmIdentity"]
 
 MAX_FRESH_AGE_S = 3.0  # an older state may lack the withdrawal of a key
-POLL_WAIT_MS = 400  # of the long poll, which is also the heartbeat of the VM's lease
+POLL_WAIT_MS = 400  # longest wait of a long poll; each poll also renews the VM's lease
 _log = PartLog("follower")
 
 
 @dataclass(slots=True, frozen=True)
 class VmIdentity:
-    """Name, addresses, data centre and incarnation of an entry VM."""
+    """Name, addresses and data centre of an entry VM; `incarnation` identifies one start of its process."""
 
     vm: str
     incarnation: int
@@ -104,13 +104,15 @@
         reply = self._control.call("follow", request, timeout=2.0, try_timeout=1.0 + wait_ms / 1000)
         changed = self._apply(reply)
         if reply.confirmed_revision < request.revision:
-            # Happens only if the group has lost its disks; its keys may differ from those in `config`.
+            # Happens only if the group has lost its disks. Its keys may differ from those in `config`, which is not
+            # confirmed then.
             _log.error(
                 "the control group is at revision %d, behind revision %d of this follower",
                 reply.confirmed_revision,
                 request.revision,
             )
         elif self.config.revision >= reply.confirmed_revision:
+            # Otherwise the reply did not hold all changes, and a later poll confirms the state.
             self._confirmed_at = max(self._confirmed_at, sent_at)
             self._lease_until = max(self._lease_until, sent_at + reply.lease_ms / 1000)
             self._first_confirmed.set()
@@ -134,6 +136,7 @@
             )
             try:
                 outcome = self._control.call("propose", proposal, timeout=timeout)
+                # A conflict means that this VM no longer owns the pool at this epoch.
                 all_released = all_released and (outcome.accepted or outcome.code == "conflict")
             except (ControlUnavailableError, messages.Refused) as error:
                 _log.warning("pool %s not released: %s", pool.name, error)
@@ -147,6 +150,8 @@
         for revisioned in reply.commands or []:
             if revisioned.revision == self.config.revision + 1:
                 self.config.apply(revisioned.command)
-                assert self.config.revision == revisioned.revision, "a change of the log was refused by a follower"
+                assert self.config.revision == revisioned.revision, (
+                    "the follower rejected a change that the control group accepted"
+                )
         assert self.config.revision >= before, "the revision of a follower decreased"
         return self.config.revision > before
--- a/libs/arbutusrill_state/_journal.py
+++ b/libs/arbutusrill_state/_journal.py
@@ -19,15 +19,17 @@
 _MAX_ENTRIES = 500_000  # about 1 kB each, which keeps a replica below half a gigabyte
 _MAX_BEGIN_IDS = 16  # per entry; a resent begin arrives within seconds of the first
 _MAX_ENTRIES_PER_SWEEP = 5_000  # bounds the time for which one sweep delays the log
-_END_STATUSES = ("done", "not_run", "ran", "unknown")
+_FINISH_STATUSES = ("done", "not_run", "ran", "unknown")
 
 
 @dataclass(slots=True)
 class JournalEntry:
     """State of one idempotency key of a workspace.
 
-    `status` is running, not_run, done, ran or unknown; `at_ms` is on the journal's clock. `outstanding` counts
-    the attempts that were allowed to send and are not known to have ended.
+    `status` is running, not_run, done, ran or unknown; `at_ms` is the time of the last change, on the journal's clock.
+    `begin_ids` holds the request IDs of the latest begins that started attempts, oldest first. `outstanding` counts
+    the attempts that were allowed to send and are not known to have ended. The fields are those of
+    `messages.JournalRecord` after the workspace and the key, in the same order.
     """
 
     digest: str
@@ -64,7 +66,7 @@
             return self._begin(change, command.request_id)
         if kind == "journal_finish":
             return self._finish(change)
-        self._sweep(change.elapsed_ms)
+        self._sweep(change.elapsed_ms)  # journal_sweep
         return messages.Outcome(True, 0)
 
     def _begin(self, change: Any, begin_id: str) -> Any:
@@ -78,7 +80,7 @@
             if len(self.entries_by_key) >= _MAX_ENTRIES:
                 return messages.Outcome(False, 0, "journal_full", "the journal of once-only calls is full")
             entry = self.entries_by_key[key] = JournalEntry(digest)
-        return messages.Outcome(True, 0, detail=encode(self._begin_answer(key, entry, digest, change, begin_id)))
+        return messages.Outcome(True, 0, detail=encode(self._answer_begin(key, entry, digest, change, begin_id)))
 
     def _begin_error(self, change: Any, begin_id: str) -> tuple[str, str] | None:
         if not 0 < len(change.key or "") <= MAX_IDEMPOTENCY_KEY_CHARACTERS:
@@ -91,21 +93,22 @@
             return "bad_value", "a begin needs a workspace, a digest and a request id of the usual lengths"
         return None
 
-    def _begin_answer(self, key: tuple[str, str], entry: JournalEntry, digest: str, change: Any, begin_id: str) -> Any:
+    def _answer_begin(self, key: tuple[str, str], entry: JournalEntry, digest: str, change: Any, begin_id: str) -> Any:
         if entry.digest != digest:
             return messages.BeginAnswer("mismatch")
         if begin_id in entry.begin_ids:
             # A resent begin: only the current attempt may send, and only while it has not ended.
             if begin_id == entry.begin_ids[-1] and entry.status in ("running", "unknown") and entry.outstanding:
                 return messages.BeginAnswer("started", entry.attempt)
+            # This begin's attempt has ended; the begin must not start another one.
             if entry.status == "not_run":
                 return messages.BeginAnswer("running", entry.attempt)
         elif entry.status == "not_run":
             self._start_attempt(key, entry, change, begin_id)
             return messages.BeginAnswer("started", entry.attempt)
-        if entry.status == "running" and not self._is_live(entry):
+        if entry.status == "running" and not self._is_vm_live(entry):
             entry.status = "unknown"
-            self._touch(key, entry)
+            self._record_change_time(key, entry)
         return messages.BeginAnswer(entry.status, entry.attempt, entry.http_status, entry.headers_json, entry.body)
 
     def _start_attempt(self, key: tuple[str, str], entry: JournalEntry, change: Any, begin_id: str) -> None:
@@ -115,20 +118,20 @@
         entry.status = "running"
         entry.vm, entry.incarnation = change.vm, change.incarnation
         entry.begin_ids = [*entry.begin_ids[1 - _MAX_BEGIN_IDS :], begin_id]
-        self._touch(key, entry)
+        self._record_change_time(key, entry)
 
-    def _is_live(self, entry: JournalEntry) -> bool:
+    def _is_vm_live(self, entry: JournalEntry) -> bool:
         vm = self._config.vms_by_id.get(entry.vm)
         return vm is not None and vm.state != "dead" and vm.incarnation == entry.incarnation
 
-    def _touch(self, key: tuple[str, str], entry: JournalEntry) -> None:
+    def _record_change_time(self, key: tuple[str, str], entry: JournalEntry) -> None:
         entry.at_ms = self.clock_ms
         self.entries_by_key.move_to_end(key)
 
     def _finish(self, change: Any) -> Any:
         key = (change.workspace, change.key)
         entry = self.entries_by_key.get(key)
-        if change.status not in _END_STATUSES:
+        if change.status not in _FINISH_STATUSES:
             return messages.Outcome(False, 0, "bad_value", f"unknown status {change.status!r}")
         if entry is None or not self._is_current(entry, change):
             return messages.Outcome(False, 0, "conflict", "the attempt is not the one under way")
@@ -148,7 +151,7 @@
             entry.outstanding = 0
         if status == "done":
             entry.http_status, entry.headers_json, entry.body = change.http_status, headers, body
-        self._touch(key, entry)
+        self._record_change_time(key, entry)
         return messages.Outcome(True, 0)
 
     def _is_current(self, entry: JournalEntry, change: Any) -> bool:
@@ -168,7 +171,7 @@
             if entry.status == "running":
                 # Its VM never reported an end; callers get this status for one more retention time.
                 entry.status = "unknown"
-                self._touch(key, entry)
+                self._record_change_time(key, entry)
             else:
                 del self.entries_by_key[key]
 
--- a/libs/arbutusrill_state/_journal_client.py
+++ b/libs/arbutusrill_state/_journal_client.py
@@ -16,18 +16,18 @@
 
 __all__ = ["Attempt", "JournalClient"]
 
-_BEGIN_TIMEOUT_S = 4.0
+_CALL_TIMEOUT_S = 4.0  # of a begin and of a finish that is retried in the background
 _FINISH_TIMEOUT_S = 1.0  # time for which a caller waits until its answer is recorded; later tries run in the background
-_MAX_SEND_DELAY_S = 10.0  # after the begin was sent; far below the minimum of journal.retention_s, 60 s
+_MAX_SEND_DELAY_S = 10.0  # from sending the begin to sending the call; far below the least journal.retention_s, 60 s
 _MAX_BEGIN_DELAY_S = 30.0  # time for which a begin without a reply may still be applied
-_MAX_UNRECORDED = 1000  # 64 MB with answers of the default journal.answer_bytes
+_MAX_UNRECORDED_FINISHES = 1000  # 64 MB with answers of the default journal.answer_bytes
 _RETRY_INTERVAL_S = 0.5
 _log = PartLog("journal")
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a once-only call and the journal's answer to its begin.
+    """One attempt of a once-only call and the journal's `BeginAnswer`.
 
     `send_by` is the latest time to send it (monotonic clock, seconds). `sent` is set when `check_send` allows the send;
     until then, the call has certainly not run.
@@ -48,14 +48,14 @@
 
 
 class JournalClient:
-    """Records begins and finishes of one entry VM's once-only calls in the journal."""
+    """Records the begins and finishes (`JournalBegin`, `JournalFinish`) of an entry VM's once-only calls."""
 
     def __init__(self, vm: str, incarnation: int, control: ControlClient, clock: Clock):
         self._vm = vm
         self._incarnation = incarnation
         self._control = control
         self._clock = clock
-        self._changed = threading.Condition()
+        self._queue_changed = threading.Condition()
         self._unrecorded: deque[_UnrecordedFinish] = deque()
 
     def start(self, tasks: TaskGroup) -> None:
@@ -64,9 +64,9 @@
             raise RuntimeError("task group has no free thread for the journal")
 
     def begin(self, workspace: str, key: str, digest: bytes) -> Attempt:
-        """Records the intent to send a call; `answer.status` tells whether this VM may send it.
+        """Records the intent to send a call; the VM may send it only if `answer.status` is ``started``.
 
-        The begin may be sent to the control group several times, always with the same request id. Raises
+        The begin may be sent to the control group several times, always with the same request ID. Raises
         `FailureError` with the verdict ``not_run`` when the journal does not answer; the call must not be sent then.
         """
         if not 0 < len(key) <= MAX_IDEMPOTENCY_KEY_CHARACTERS:
@@ -77,7 +77,7 @@
         begin_command = command(change, self._vm, self._clock.wall_ms(), begin_id)
         sent_at = self._clock.monotonic()
         try:
-            answer = self._control.call("begin_call", begin_command, timeout=_BEGIN_TIMEOUT_S)
+            answer = self._control.call("begin_call", begin_command, timeout=_CALL_TIMEOUT_S)
         except (ControlUnavailableError, messages.Refused) as error:
             if not isinstance(error, ControlUnavailableError) or error.sent:
                 # The begin may have been recorded, although the call will not be sent.
@@ -120,13 +120,13 @@
             self._enqueue(change, finish_command)
 
     def _enqueue(self, change: Any, finish_command: Any = None) -> None:
-        with self._changed:
-            if len(self._unrecorded) >= _MAX_UNRECORDED:
-                _log.warning("outcome of a once-only call dropped, %d are queued already", _MAX_UNRECORDED)
+        with self._queue_changed:
+            if len(self._unrecorded) >= _MAX_UNRECORDED_FINISHES:
+                _log.warning("outcome of a once-only call dropped, %d are queued already", _MAX_UNRECORDED_FINISHES)
                 return
             finish_command = finish_command or command(change, self._vm, self._clock.wall_ms())
             self._unrecorded.append(_UnrecordedFinish(finish_command, self._clock.monotonic()))
-            self._changed.notify_all()
+            self._queue_changed.notify_all()
 
     def _record(self, item: _UnrecordedFinish, timeout: float) -> bool:
         """Tries once to record a finish; returns False if it has to be retried."""
@@ -138,6 +138,7 @@
             return False
         if outcome.accepted:
             return True
+        # Attempt 0: the begin got no reply and may still be applied, so the finish is retried until that is impossible.
         if change.attempt == 0 and self._clock.monotonic() - item.queued_at < _MAX_BEGIN_DELAY_S:
             return False
         if change.attempt:
@@ -146,20 +147,20 @@
 
     def _run_retries(self, tasks: TaskGroup) -> None:
         while not tasks.stopping.is_set():
-            with self._changed:
-                self._changed.wait_for(lambda: self._unrecorded or tasks.stopping.is_set(), _RETRY_INTERVAL_S)
+            with self._queue_changed:
+                self._queue_changed.wait_for(lambda: self._unrecorded or tasks.stopping.is_set(), _RETRY_INTERVAL_S)
             if not self.retry_finishes():
                 tasks.stopping.wait(_RETRY_INTERVAL_S)
 
     def retry_finishes(self) -> bool:
         """Tries to record each queued finish once; returns whether the queue is empty."""
         for _ in range(len(self._unrecorded)):
-            with self._changed:
+            with self._queue_changed:
                 if not self._unrecorded:
                     break
                 item = self._unrecorded.popleft()
-            if not self._record(item, _BEGIN_TIMEOUT_S):
-                with self._changed:
+            if not self._record(item, _CALL_TIMEOUT_S):
+                with self._queue_changed:
                     self._unrecorded.append(item)
         return not self._unrecorded
 
--- a/libs/arbutusrill_state/tests/test_journal_client.py
+++ b/libs/arbutusrill_state/tests/test_journal_client.py
@@ -14,20 +14,20 @@
         self.state = SharedState()
         self.apply(command(messages.PutVm("v", "a", "b", "", 1, "live"), "t", 0))
         self.unavailable = False
-        self.lose_answers = 0
+        self.replies_to_lose = 0
         self.delayed_begins = []
 
-    def apply(self, made):
-        return decode(messages.Outcome, self.state.apply(encode(made)))
+    def apply(self, proposal):
+        return decode(messages.Outcome, self.state.apply(encode(proposal)))
 
-    def call(self, name, made, timeout):
+    def call(self, name, proposal, timeout):
         if self.unavailable:
-            self.delayed_begins.append(made)
+            self.delayed_begins.append(proposal)
             raise ControlUnavailableError("unavailable", True)
-        outcome = self.apply(made)
-        if self.lose_answers:
-            self.lose_answers -= 1
-            raise ControlUnavailableError("answer lost", True)
+        outcome = self.apply(proposal)
+        if self.replies_to_lose:
+            self.replies_to_lose -= 1
+            raise ControlUnavailableError("reply lost", True)
         return decode(messages.BeginAnswer, outcome.detail) if name == "begin_call" else outcome
 
     def status(self):
@@ -84,8 +84,8 @@
     assert journal.begin("w", "k", b"d").answer.body == b"seat 12"
 
 
-def test_begin_without_an_answer_does_not_block_the_key(journal, control):
-    control.lose_answers = 1
+def test_begin_without_a_reply_does_not_block_the_key(journal, control):
+    control.replies_to_lose = 1
     with pytest.raises(FailureError) as caught:
         journal.begin("w", "k", b"d")
     assert caught.value.failure.verdict is Verdict.NOT_RUN and control.status() == "running"
