--- a/libs/arbutusrill_gateway/_backends.py
+++ b/libs/arbutusrill_gateway/_backends.py
@@ -178,10 +178,10 @@
         )
 
     def _request_count(self, backend: str) -> int:
-        return self._requests_by_id.get(backend, 0) + self._view.requests_of_others_by_id.get(backend, 0)
+        return self._requests_by_id.get(backend, 0) + self._view.other_vms_requests_by_backend.get(backend, 0)
 
     def _token_count(self, backend: str) -> int:
-        return self._tokens_by_id.get(backend, 0) + self._view.tokens_of_others_by_id.get(backend, 0)
+        return self._tokens_by_id.get(backend, 0) + self._view.other_vms_tokens_by_backend.get(backend, 0)
 
     def _expected_s(self, record: Any, service: Service, stage: str, tokens: int, mean_s: float, now: float) -> float:
         stats = self._stats_of(record)
--- a/libs/arbutusrill_site/_backends.py
+++ b/libs/arbutusrill_site/_backends.py
@@ -26,8 +26,8 @@
     return (record.started_ms, record.sequence) > (known.started_ms, known.sequence)
 
 
-def _differs_only_in_sequence(record: Any, known: Any) -> bool:
-    """Whether two announcements are equal in all fields that followers use."""
+def _equal_except_sequence(record: Any, known: Any) -> bool:
+    """Whether two announcements of a server agree in all fields but the sequence number."""
     fields = (
         "started_ms",
         "service_name",
@@ -67,7 +67,7 @@
         self._id_by_address.clear()
 
     def restore_roster(self) -> None:
-        """Adds the servers of the roster that have not announced themselves; the timeout then applies to them."""
+        """Adds the servers of the roster that have not announced themselves; they expire unless they do so in time."""
         for record in self._roster.records():
             with self._changed:
                 if record.id not in self._record_by_id:
@@ -78,42 +78,51 @@
         records = self.records()
         saved_by_id = {record.id: record for record in self._roster.records()}
         if len(saved_by_id) == len(records) and all(
-            record.id in saved_by_id and _differs_only_in_sequence(record, saved_by_id[record.id]) for record in records
+            record.id in saved_by_id and _equal_except_sequence(record, saved_by_id[record.id]) for record in records
         ):
             return None
         return records
 
     def announce(self, record: Any) -> bool:
-        """Registers an announcement; returns False when it is outdated."""
+        """Registers an announcement; returns False when `_is_current` does not hold."""
         now = self._clock.monotonic()
         with self._changed:
             if not self._is_current(record):
                 _events.emit("announcement_outdated", backend=record.id, start=record.started_ms, seq=record.sequence)
                 return False
             known = self._record_by_id.get(record.id)
+            # Servers do not report a pending order: it is kept until the engine announces the ordered stage.
             if known is not None and known.started_ms == record.started_ms and known.ordered_stage != record.stage:
                 record.ordered_stage = known.ordered_stage
             self._record_by_id[record.id] = record
             self._last_heard_by_id[record.id] = now
-            if known is None or not _differs_only_in_sequence(record, known):
+            if known is None or not _equal_except_sequence(record, known):
                 self._apply_announcement(record, known)
             return True
 
     def _is_current(self, record: Any) -> bool:
+        """Whether an announcement is newer than the known one, not covered by a departure and its address not taken.
+
+        An address is taken when another server at it did not start earlier.
+        """
         known = self._record_by_id.get(record.id)
         if known is not None and not is_newer(record, known):
             return False
         if not record.draining and self._departures.covers(record.id, record.started_ms, record.sequence):
             return False
-        holder = self._record_by_id.get(self._id_by_address.get(record.address, ""))
-        return holder is None or holder.id == record.id or record.started_ms > holder.started_ms
+        server_at_address = self._record_by_id.get(self._id_by_address.get(record.address, ""))
+        return (
+            server_at_address is None
+            or server_at_address.id == record.id
+            or record.started_ms > server_at_address.started_ms
+        )
 
     def _apply_announcement(self, record: Any, known: Any) -> None:
         if known is not None and known.address != record.address:
             self._id_by_address.pop(known.address, None)
-        holder = self._id_by_address.get(record.address)
-        if holder not in (None, record.id):
-            self._drop(holder, f"its address is now used by {record.id}")
+        id_at_address = self._id_by_address.get(record.address)
+        if id_at_address not in (None, record.id):
+            self._drop(id_at_address, f"its address is now used by {record.id}")
         self._id_by_address[record.address] = record.id
         _events.emit(
             "backend_changed" if known else "backend_added",
@@ -129,7 +138,10 @@
         self._increment_revision()
 
     def record_stage_order(self, backend: str, stage: str) -> None:
-        """Sets the stage that an engine was ordered to change to, empty for none; the change of stage clears it."""
+        """Sets the stage that an engine was ordered to change to, empty for none.
+
+        An announcement in that stage clears it.
+        """
         with self._changed:
             known = self._record_by_id.get(backend)
             if known is not None and known.ordered_stage != stage:
@@ -143,7 +155,7 @@
             return known.started_ms if known else 0
 
     def remove(self, backend: str, started_ms: int) -> None:
-        """Removes a server that has departed, unless it was restarted after `started_ms`."""
+        """Removes a departed server unless it started after `started_ms`; notifies followers of the departure."""
         with self._changed:
             known = self._record_by_id.get(backend)
             if known is not None and known.started_ms <= started_ms:
--- a/libs/arbutusrill_site/_follower.py
+++ b/libs/arbutusrill_site/_follower.py
@@ -17,7 +17,7 @@
 
 __all__ = ["SiteFollower", "SiteView"]
 
-_LONG_POLL_MS = 250
+_LONG_POLL_MS = 250  # longest wait of the leader for a change
 _CALL_TIMEOUT_S = 1.0
 _RETRY_DELAY_S = 0.05  # after a failed call
 _events = EventLog("follower")
@@ -37,9 +37,9 @@
         self.backends_by_id: dict[str, Any] = {}
         self.backends_complete = False
         self.entries_by_id: dict[str, Any] = {}
-        self.requests_of_others_by_id: dict[str, int] = {}
-        self.tokens_of_others_by_id: dict[str, int] = {}
-        self.confirmed_at = float("-inf")
+        self.other_vms_requests_by_backend: dict[str, int] = {}
+        self.other_vms_tokens_by_backend: dict[str, int] = {}
+        self.last_poll_sent_at = float("-inf")
         self._changed = threading.Condition()
 
     def wait_for(self, condition: Callable[[], bool], timeout_s: float) -> bool:
@@ -54,15 +54,16 @@
 
     def age_s(self) -> float:
         """Returns the seconds since the start of the last successful poll."""
-        return self._clock.monotonic() - self.confirmed_at
+        return self._clock.monotonic() - self.last_poll_sent_at
 
 
 class SiteFollower:
     """Polls the leader and updates a `SiteView`.
 
-    `entry` is the record of this entry VM. `decode` decodes the body of a configuration document. `uses` returns the
-    load of this VM on backend servers, `places` the places that it holds, `seeds` the configured addresses of control
-    VMs. The document never reverts to an older version; incomplete lists of a new leader are merged with known ones.
+    `entry` is the record of this entry VM. `decode` decodes the body of a configuration document. `backend_loads`
+    returns the load of this VM on backend servers, `places` the places that it holds, `seeds` the configured addresses
+    of control VMs. The document never reverts to an older version; lists that a new leader marks as incomplete are
+    merged with the known ones.
     """
 
     def __init__(
@@ -74,7 +75,7 @@
         clock: Clock,
         meter: FleetMeter,
         decode: Callable[[bytes], Any],
-        uses: Callable[[], list[Any]],
+        backend_loads: Callable[[], list[Any]],
         places: Callable[[], list[Any]],
         seeds: Callable[[], list[str]],
     ):
@@ -86,7 +87,7 @@
         self._clock = clock
         self._meter = meter
         self._decode = decode
-        self._uses = uses
+        self._backend_loads = backend_loads
         self._places = places
         self._seeds = seeds
         self._term = 0
@@ -112,23 +113,23 @@
         """Reports to the leader at once that this entry VM drains; later polls repeat it if the call fails."""
         self._draining = True
         try:
-            self._follow(0)
+            self._poll(0)
         except (ControlUnavailableError, messages.Refused) as error:
             _events.emit("drain_not_announced", reason=str(error))
 
     def _run(self, stopping: threading.Event) -> None:
         while not stopping.is_set():
             try:
-                self._follow(_LONG_POLL_MS)
+                self._poll(_LONG_POLL_MS)
                 self._failures = 0
                 self._set_connected(True, "")
             except (ControlUnavailableError, messages.Refused) as error:
                 self._failures += 1
                 self._set_connected(False, str(error))
-                # All known members may have been replaced during a partition: the seeds are always tried too.
+                # All known members may have been replaced during a partition: start again from the seeds.
                 self._client.learn(self._seeds())
                 stopping.wait(_RETRY_DELAY_S)
-            except Exception as error:  # data that this software version cannot decode must not end the task
+            except Exception as error:  # such as a document that this version cannot decode; the task must go on
                 _events.emit("view_not_updated", reason=repr(error))
                 stopping.wait(_RETRY_DELAY_S)
 
@@ -138,7 +139,7 @@
             event = "control_regained" if connected else "control_lost"
             _events.emit(event, reason=reason, version=self.view.version, age_s=self.view.age_s())
 
-    def _follow(self, wait_ms: int) -> None:
+    def _poll(self, wait_ms: int) -> None:
         report = self._meter.report()
         entry = self._entry
         request = messages.SiteFollowRequest(
@@ -150,7 +151,7 @@
             self._entries_revision,
             wait_ms,
             report.spent,
-            self._uses(),
+            self._backend_loads(),
             self._places(),
             report.whole,
             report.levels,
@@ -162,7 +163,7 @@
         with self._state_lock:
             self._apply_reply(reply)
         self._meter.learn(report, FleetLevels(reply.available or {}, reply.counted))
-        self.view.confirmed_at = sent_at
+        self.view.last_poll_sent_at = sent_at
         self._client.learn(reply.control or [])
 
     def _apply_reply(self, reply: Any) -> None:
@@ -190,8 +191,8 @@
         self._term = reply.term
         self._backends_revision = reply.backends_revision
         self._entries_revision = reply.entries_revision
-        view.requests_of_others_by_id = {use.id: use.requests for use in reply.uses or []}
-        view.tokens_of_others_by_id = {use.id: use.tokens for use in reply.uses or []}
+        view.other_vms_requests_by_backend = {use.id: use.requests for use in reply.uses or []}
+        view.other_vms_tokens_by_backend = {use.id: use.tokens for use in reply.uses or []}
         if reply.document is not None or reply.backends is not None:
             self.on_change()
             view.notify()
--- a/libs/arbutusrill_site/_membership.py
+++ b/libs/arbutusrill_site/_membership.py
@@ -14,7 +14,7 @@
 
 _VOTER_TIMEOUT_S = 3.0  # a voter silent for longer may be replaced by a VM that asks to join
 _JOIN_REQUEST_TTL_S = 3.0  # validity of a request to join
-_CHANGE_TIMEOUT_S = 3.0
+_CHANGE_TIMEOUT_S = 3.0  # of one membership change
 _JOIN_TIMEOUT_S = 1.0
 _events = EventLog("group")
 
@@ -62,20 +62,24 @@
             _events.emit("membership_change_failed", reason=str(error))
 
     def _admit(self, requesting: str) -> bool:
-        """Adds the VM with the member ID `requesting` to the group if possible; returns whether the group changed."""
+        """Makes the VM with the ID `requesting` a voter if there is room or a voter to replace.
+
+        Returns whether it became a voter.
+        """
         members = self._log.members()
         voters = [member for member in members if member.kind == "voter"]
         if any(member.id == requesting for member in voters):
             return False  # a member that lost contact with the leader for a moment
         address = address_of(requesting)
         same_address = [member for member in voters if member.address == address]
+        # `silent_s` is -1 for a voter that has never replied to this leader.
         silent = [member for member in voters if member.silent_s < 0 or member.silent_s > _VOTER_TIMEOUT_S]
         if same_address:
             self._replace(same_address[0].id, address, "it has a new disk")
         elif len(voters) < self._size:
-            added = self._log.add_learner(address, _CHANGE_TIMEOUT_S)
-            self._log.promote(added, _CHANGE_TIMEOUT_S)
-            _events.emit("voter_added", member=added, voters=len(voters) + 1)
+            new_member = self._log.add_learner(address, _CHANGE_TIMEOUT_S)
+            self._log.promote(new_member, _CHANGE_TIMEOUT_S)
+            _events.emit("voter_added", member=new_member, voters=len(voters) + 1)
         elif silent:
             self._replace(silent[0].id, address, f"it was silent for {silent[0].silent_s:.1f} s")
         else:
@@ -85,8 +89,8 @@
         return True
 
     def _replace(self, old: str, address: str, reason: str) -> None:
-        added = self._log.replace(old, address, _CHANGE_TIMEOUT_S)
-        _events.emit("voter_replaced", old=old, new=added, reason=reason)
+        new_member = self._log.replace(old, address, _CHANGE_TIMEOUT_S)
+        _events.emit("voter_replaced", old=old, new=new_member, reason=reason)
 
 
 class Joiner:
@@ -108,7 +112,7 @@
             members = self._client.call("join", status.replica, timeout=_JOIN_TIMEOUT_S, try_timeout=0.5)
         except (ControlUnavailableError, messages.Refused) as error:
             _events.emit("join_unanswered", reason=str(error))
-            # All known members may have been replaced: the seeds are always tried too.
+            # All known members may have been replaced: the seeds are tried as well.
             known = [address_of(member) for member in [*status.voters, *status.learners]]
             self._client.learn(sorted({*self._seeds(), *known, self._address}))
             return
--- a/libs/arbutusrill_site/_places.py
+++ b/libs/arbutusrill_site/_places.py
@@ -160,7 +160,7 @@
         """Returns the expected seconds from a place to the first event, including the queues of the prefill engines."""
         ends = [self.speeds.local_prefill_s(request.prompt_tokens)]
         for record in self._eligible_engines(request, "prefill"):
-            ends.append(self.speeds.speed_of(record.id, "prefill").ends_at(request.prompt_tokens, now) - now)
+            ends.append(self.speeds.unit_time_of(record.id, "prefill").ends_at(request.prompt_tokens, now) - now)
         return min(ends) + _FIRST_EVENT_DELAY_S
 
     def _leave_queue(self, request: Any) -> None:
@@ -249,7 +249,8 @@
         if not eligible:
             return None
         best = min(
-            eligible, key=lambda record: (count_by_backend[record.id], self.speeds.speed_of(record.id, "decode").unit_s)
+            eligible,
+            key=lambda record: (count_by_backend[record.id], self.speeds.unit_time_of(record.id, "decode").unit_s),
         )
         if count_by_backend[best.id] >= _MAX_QUEUED_PER_ENGINE:
             return None
@@ -271,7 +272,7 @@
         eligible = self._eligible_engines(request, "prefill")
         preferred = [record for record in eligible if record.id not in (request.avoid or ())]
         for record in preferred or eligible:
-            end = self.speeds.speed_of(record.id, "prefill").ends_at(request.prompt_tokens, now)
+            end = self.speeds.unit_time_of(record.id, "prefill").ends_at(request.prompt_tokens, now)
             cost = end + (_CROSS_DATA_CENTRE_PENALTY_S if record.data_centre != decode.data_centre else 0.0)
             if cost < best_cost:
                 best, best_end, best_cost = record, end, cost
@@ -282,7 +283,7 @@
         ):
             self._local_prefills.record_start(decode.id, request.prompt_tokens, now)
             return ""
-        self.speeds.speed_of(best.id, "prefill").add_prompt(request.prompt_tokens, now)
+        self.speeds.unit_time_of(best.id, "prefill").add_prompt(request.prompt_tokens, now)
         return best.id
 
     def _decode_engine_prefills_sooner(self, request: Any, decode: Any, prefill_end: float, now: float) -> bool:
--- a/libs/arbutusrill_site/_service.py
+++ b/libs/arbutusrill_site/_service.py
@@ -27,9 +27,9 @@
 _COMMIT_TIMEOUT_S = 2.0
 _CONFIRM_TIMEOUT_S = 1.0
 _MAX_LONG_POLL_S = 2.0
-_MAX_SEQUENCE = 2**62  # a departure with it covers all announcements of a start
-_SAVE_INTERVAL_S_PER_BACKEND = 0.05  # bounds the rate at which a large list is written to the log
-_COALESCING_DELAY_S = 0.005  # batches concurrent changes into one reply
+_MAX_SEQUENCE = 2**62  # a departure with this number covers all announcements that a server makes after one start
+_SAVE_INTERVAL_S_PER_BACKEND = 0.05  # the interval grows with the list, which bounds the write rate of the log
+_COALESCING_DELAY_S = 0.005  # wait after a change, so that one reply carries the changes that come together
 _events = EventLog("site")
 
 
@@ -91,6 +91,7 @@
         if request.term == term and self._wait_for_change(request, term):
             time.sleep(_COALESCING_DELAY_S)
         self._confirm_leadership()
+        # The term may have changed during the wait: this resets the registries for the new one before they are read.
         self._require_leadership()
         same_term = request.term == self._term
         version, body = self._state.document.held()
@@ -153,7 +154,7 @@
         return self.places.place(request)
 
     def free_place(self, freed: Any) -> None:
-        """Frees a place and learns from the times that its holder reports."""
+        """Frees a place and updates the speed estimates from the times that its holder reports."""
         self._require_leadership()
         self.places.free(freed)
 
@@ -168,10 +169,10 @@
     def put_document(self, document: Any) -> int:
         """Commits a document if its version is higher than the current one; returns the version in force afterwards."""
         self._confirm_leadership()
-        held = self._state.document.version
-        if document.version <= held:
-            _events.emit("document_not_higher", version=document.version, held=held)
-            return held
+        current_version = self._state.document.version
+        if document.version <= current_version:
+            _events.emit("document_not_higher", version=document.version, held=current_version)
+            return current_version
         started = self._clock.monotonic()
         outcome = self._propose(messages.PutDocument(document.version, document.body))
         took_ms = round((self._clock.monotonic() - started) * 1000, 1)
@@ -200,7 +201,7 @@
         return self._group_keeper.addresses()
 
     def tick(self) -> None:
-        """Follows the term of the log, and drops backend servers and entry VMs that time out."""
+        """Updates the term from the log; on the leader drops backend servers and entry VMs that time out."""
         if not self._update_term():
             return
         self.backends.expire()
@@ -216,7 +217,7 @@
         self._save_records(records)
 
     def record_stage_order(self, backend: str, stage: str) -> bool:
-        """Commits that an engine has an order to change to `stage`; returns False when that fails."""
+        """Commits the stage that an engine was ordered to change to, empty for none; returns False when that fails."""
         self.backends.record_stage_order(backend, stage)
         records = self.backends.records_to_save()
         return records is None or self._save_records(records)
@@ -259,20 +260,22 @@
 
     def _limits_of(self, workspace: str) -> Limits | None:
         configuration = self._configuration()
-        known = configuration.workspaces_by_name.get(workspace) if configuration else None
-        return known.limits if known else None
+        workspace_config = configuration.workspaces_by_name.get(workspace) if configuration else None
+        return workspace_config.limits if workspace_config else None
 
     def _engine_of(self, service: str) -> Engine | None:
         configuration = self._configuration()
-        known = configuration.services_by_name.get(service) if configuration else None
-        return known.engine if known else None
+        service_config = configuration.services_by_name.get(service) if configuration else None
+        return service_config.engine if service_config else None
 
     def _require_leadership(self) -> None:
+        """Refuses a call when this replica does not lead, by local knowledge only; updates the term."""
         if not self._log.is_leader() or not self._update_term():
             leader = self._log.status().leader
             raise messages.Refused("not_leader", f"not the leader, try {leader or 'another'}", leader=leader)
 
     def _confirm_leadership(self) -> None:
+        """Waits until a quorum confirms that this VM leads; refuses the call otherwise."""
         try:
             self._log.confirm(_CONFIRM_TIMEOUT_S)
         except NotLeaderError as error:
--- a/libs/arbutusrill_site/_speeds.py
+++ b/libs/arbutusrill_site/_speeds.py
@@ -8,19 +8,19 @@
 
 from ._stages import EngineStatistics
 
-__all__ = ["EngineSpeeds", "Speed"]
+__all__ = ["EngineSpeeds", "UnitTimeEstimate"]
 
-_SLOWER_SMOOTHING_FACTOR = 0.02  # of the moving average, for times longer than the estimate
+_SLOWER_SMOOTHING_FACTOR = 0.02  # weight of an observation that is longer than the estimate; a shorter one replaces it
 _NOMINAL_PREFILL_S_PER_TOKEN = 0.000045  # a nominal engine is the reference for relative speeds
 _NOMINAL_DECODE_S_PER_EVENT = 0.048
 _ASSUMED_TOKENS_PER_EVENT = 12.0  # before enough streams were observed
 _PREFILL_OCCUPANCY_FRACTION = 0.67  # of the time of a prefill; the engine overlaps the rest with the next prompt
 _NOMINAL_UNIT_S_BY_STAGE = {"prefill": _NOMINAL_PREFILL_S_PER_TOKEN, "decode": _NOMINAL_DECODE_S_PER_EVENT}
 _MIN_SPEED_SAMPLES = 3  # from which the speed of an engine counts as known
-_MIN_REQUEST_SAMPLES = 15  # from which the work of a service counts as known
+_MIN_REQUEST_SAMPLES = 15  # from which the work of a service counts as known; also the window of its averages
 _CONTENTION_FACTOR = 1.1  # the estimate follows the shortest times; concurrent streams lengthen them
 _MAX_PENDING_PROMPT_AGE_S = 3.0  # older prompts count as processed
-_LOCAL_PREFILL_FACTOR = 2.0  # time of a prefill on a decode engine against a prefill engine
+_LOCAL_PREFILL_FACTOR = 2.0  # time of a prefill on a decode engine, as a multiple of that on a prefill engine
 
 
 @dataclass(slots=True)
@@ -38,32 +38,32 @@
 
 @dataclass(slots=True)
 class _ServiceWork:
-    """Mean engine seconds, events and output tokens of a request of a service."""
+    """Mean engine seconds, stream events and output tokens for each request of a service."""
 
-    prefill: _MovingAverage = field(default_factory=_MovingAverage)
-    decode: _MovingAverage = field(default_factory=_MovingAverage)
+    prefill_s: _MovingAverage = field(default_factory=_MovingAverage)
+    decode_s: _MovingAverage = field(default_factory=_MovingAverage)
     events: _MovingAverage = field(default_factory=_MovingAverage)
-    output: _MovingAverage = field(default_factory=_MovingAverage)
+    output_tokens: _MovingAverage = field(default_factory=_MovingAverage)
 
-    def events_of(self, output_tokens: int) -> float:
+    def expected_events(self, output_tokens: int) -> float:
         """Returns the expected number of events in which an output is sent."""
-        if self.events.count < _MIN_REQUEST_SAMPLES or not self.output.value:
+        if self.events.count < _MIN_REQUEST_SAMPLES or not self.output_tokens.value:
             return output_tokens / _ASSUMED_TOKENS_PER_EVENT
-        return output_tokens * self.events.value / self.output.value
+        return output_tokens * self.events.value / self.output_tokens.value
 
 
 @dataclass(slots=True)
 class _PendingPrompt:
     """Prompt that was assigned to an engine and whose prefill has not ended."""
 
-    at: float
+    assigned_at: float
     tokens: int
-    queued: bool  # whether the engine was expected to be busy at that time
+    queued: bool  # whether the engine was expected to be busy at `assigned_at`
 
 
 @dataclass(slots=True)
-class Speed:
-    """Estimated seconds for each prompt token or stream event, on one engine in one stage.
+class UnitTimeEstimate:
+    """Estimated seconds per prompt token (prefill) or stream event (decode) on one engine.
 
     Shorter times replace the estimate and longer ones move it slowly, since queueing and contention only add time.
     """
@@ -79,32 +79,33 @@
 
     def add_prompt(self, tokens: int, now: float) -> None:
         """Adds a prompt that is assigned to the engine, and drops those older than `_MAX_PENDING_PROMPT_AGE_S`."""
-        while self._pending and self._pending[0].at < now - _MAX_PENDING_PROMPT_AGE_S:
+        while self._pending and self._pending[0].assigned_at < now - _MAX_PENDING_PROMPT_AGE_S:
             self._pending.popleft()
         self._pending.append(_PendingPrompt(now, tokens, self.busy_until > now))
         self.busy_until = max(now, self.busy_until) + tokens * self.unit_s * _PREFILL_OCCUPANCY_FRACTION
 
     def complete_prompt(self, tokens: int, took_s: float, now: float) -> None:
-        """Updates the estimate from a prefill that ended `took_s` seconds after its assignment.
+        """Updates the estimate from a prefill that took `took_s` seconds and whose report arrived at `now`.
 
-        An engine processes its prompts in order, so that older ones have ended too and newer ones are its queue. The
-        time of a queued prompt includes its wait, and counts only when it is shorter than the estimate.
+        `took_s` counts from the assignment to the engine. An engine processes its prompts in order, so that older ones
+        have ended too and newer ones are its queue. The time of a queued prompt includes its wait, and counts only when
+        it is shorter than the estimate.
         """
         queued = False
-        while self._pending and self._pending[0].at <= now - took_s:
+        while self._pending and self._pending[0].assigned_at <= now - took_s:
             queued = self._pending.popleft().queued
         if not queued or took_s / tokens < self.unit_s:
             self.add(took_s / tokens)
         waiting = sum(prompt.tokens for prompt in self._pending)
         self.busy_until = max(self.busy_until, now + waiting * self.unit_s * _PREFILL_OCCUPANCY_FRACTION)
 
-    def add(self, observed: float) -> None:
-        """Adds an observation in seconds for each unit; the first one replaces the nominal value."""
+    def add(self, observed_s: float) -> None:
+        """Adds an observation in seconds per prompt token or event; the first one replaces the nominal value."""
         self.count += 1
-        if self.count == 1 or observed < self.unit_s:
-            self.unit_s = observed
+        if self.count == 1 or observed_s < self.unit_s:
+            self.unit_s = observed_s
         else:
-            self.unit_s += _SLOWER_SMOOTHING_FACTOR * (observed - self.unit_s)
+            self.unit_s += _SLOWER_SMOOTHING_FACTOR * (observed_s - self.unit_s)
 
 
 class EngineSpeeds(EngineStatistics):
@@ -120,17 +121,19 @@
 
     def __init__(self):
         self._lock = threading.Lock()
-        self._speed_by_engine: dict[tuple[str, str], Speed] = {}
+        self._estimate_by_engine: dict[tuple[str, str], UnitTimeEstimate] = {}
         self._work_by_service: dict[str, _ServiceWork] = {}
 
-    def speed_of(self, backend: str, stage: str) -> Speed:
+    def unit_time_of(self, backend: str, stage: str) -> UnitTimeEstimate:
         """Returns the estimate for an engine in a stage, nominal before the first observation."""
         with self._lock:
-            return self._speed_by_engine.setdefault((backend, stage), Speed(_NOMINAL_UNIT_S_BY_STAGE[stage]))
+            return self._estimate_by_engine.setdefault(
+                (backend, stage), UnitTimeEstimate(_NOMINAL_UNIT_S_BY_STAGE[stage])
+            )
 
     def slowness(self, backend: str) -> float:
-        """Returns the decoding time of an engine for an event as a multiple of that of a nominal engine."""
-        return self.speed_of(backend, "decode").unit_s / _NOMINAL_DECODE_S_PER_EVENT
+        """Returns the decoding time per event of an engine, as a multiple of that of a nominal engine."""
+        return self.unit_time_of(backend, "decode").unit_s / _NOMINAL_DECODE_S_PER_EVENT
 
     def local_prefill_s(self, prompt_tokens: int, backend: str = "") -> float:
         """Returns the expected seconds of a prefill on a decode engine, a nominal one when `backend` is empty."""
@@ -139,35 +142,40 @@
 
     def learn_prefill(self, backend: str, took_s: float, tokens: int, now: float) -> None:
         """Learns from the time of a prefill of `tokens` prompt tokens."""
-        self.speed_of(backend, "prefill").complete_prompt(max(1, tokens), took_s, now)
+        self.unit_time_of(backend, "prefill").complete_prompt(max(1, tokens), took_s, now)
 
     def learn_decode(self, backend: str, service: str, took_s: float, events: int, output_tokens: int) -> None:
         """Learns from the time of a stream of `events`; `output_tokens` is its expected output."""
-        self.speed_of(backend, "decode").add(took_s / max(1, events))
+        self.unit_time_of(backend, "decode").add(took_s / max(1, events))
         with self._lock:
             work = self._work(service)
             work.events.add(events)
-            work.output.add(output_tokens)
+            work.output_tokens.add(output_tokens)
 
-    def learn_request(self, service: str, prompt_tokens: int, output_tokens: int, engine_tokens: int) -> None:
+    def learn_request(self, service: str, prompt_tokens: int, output_tokens: int, engine_kv_tokens: int) -> None:
         """Learns the engine time that a new request is expected to need.
 
-        Decoding is weighted by the share of the KV cache of `engine_tokens` that the stream occupies on average.
+        Decoding time counts in proportion to the share of the KV cache, of `engine_kv_tokens` tokens, that the stream
+        occupies on average.
         """
         with self._lock:
             work = self._work(service)
-            work.prefill.add(prompt_tokens * _NOMINAL_PREFILL_S_PER_TOKEN * _PREFILL_OCCUPANCY_FRACTION)
-            memory_fraction = (prompt_tokens + output_tokens / 2) / max(1, engine_tokens)
-            work.decode.add(work.events_of(output_tokens) * _NOMINAL_DECODE_S_PER_EVENT * memory_fraction)
+            work.prefill_s.add(prompt_tokens * _NOMINAL_PREFILL_S_PER_TOKEN * _PREFILL_OCCUPANCY_FRACTION)
+            memory_fraction = (prompt_tokens + output_tokens / 2) / max(1, engine_kv_tokens)
+            work.decode_s.add(work.expected_events(output_tokens) * _NOMINAL_DECODE_S_PER_EVENT * memory_fraction)
 
     def stream_duration_s(self, backend: str, service: str, output_tokens: int) -> float | None:
         """Returns the expected seconds of a stream; None before its engine and its service have enough samples."""
-        speed = self.speed_of(backend, "decode")
+        estimate = self.unit_time_of(backend, "decode")
         with self._lock:
             work = self._work(service)
-            if speed.count < _MIN_SPEED_SAMPLES or work.events.count < _MIN_REQUEST_SAMPLES or work.output.value <= 0:
+            if (
+                estimate.count < _MIN_SPEED_SAMPLES
+                or work.events.count < _MIN_REQUEST_SAMPLES
+                or work.output_tokens.value <= 0
+            ):
                 return None
-            return max(1.0, work.events_of(output_tokens)) * speed.unit_s * _CONTENTION_FACTOR
+            return max(1.0, work.expected_events(output_tokens)) * estimate.unit_s * _CONTENTION_FACTOR
 
     def _work(self, service: str) -> _ServiceWork:
         return self._work_by_service.setdefault(service, _ServiceWork())
@@ -176,9 +184,9 @@
         """Returns the share of prefill in the engine time of a service; None before enough requests were observed."""
         with self._lock:
             work = self._work_by_service.get(service)
-            if work is None or min(work.prefill.count, work.decode.count) < _MIN_REQUEST_SAMPLES:
+            if work is None or min(work.prefill_s.count, work.decode_s.count) < _MIN_REQUEST_SAMPLES:
                 return None
-            return work.prefill.value / (work.prefill.value + work.decode.value)
+            return work.prefill_s.value / (work.prefill_s.value + work.decode_s.value)
 
     def relative_speed(self, backend: str, stage: str) -> float | None:
         """Returns the speed of an engine as a multiple of a nominal one; None before enough samples.
@@ -187,7 +195,7 @@
         """
         with self._lock:
             for name in sorted(_NOMINAL_UNIT_S_BY_STAGE, key=lambda other: other != stage):
-                speed = self._speed_by_engine.get((backend, name))
-                if speed is not None and speed.count >= _MIN_SPEED_SAMPLES:
-                    return _NOMINAL_UNIT_S_BY_STAGE[name] / speed.unit_s
+                estimate = self._estimate_by_engine.get((backend, name))
+                if estimate is not None and estimate.count >= _MIN_SPEED_SAMPLES:
+                    return _NOMINAL_UNIT_S_BY_STAGE[name] / estimate.unit_s
             return None
--- a/libs/arbutusrill_site/_stages.py
+++ b/libs/arbutusrill_site/_stages.py
@@ -12,15 +12,15 @@
 __all__ = ["EngineRegistry", "EngineStatistics", "OrderAnswer", "StageKeeper", "StageOrders"]
 
 _CAPACITY_MARGIN_FACTOR = 1.2  # prefill capacity over demand, as headroom for short peaks
-_ASSUMED_PREFILL_FRACTION = 0.18  # of the engine time of a service, before its first request
-_MIN_KNOWN_PREFILL_FRACTION = 0.5  # of the prefill engines, before any engine is switched
-_MIN_KNOWN_DECODE_FRACTION = 0.8  # of the decode engines, before one is switched to prefill
-_SHORTAGE_FRACTION = 0.4  # of the prefill demand; below it a decode engine is switched
+_ASSUMED_PREFILL_FRACTION = 0.18  # share of prefill in the engine time of a service while no engine speed is known
+_MIN_KNOWN_PREFILL_FRACTION = 0.5  # share of prefill engines whose speed must be known before any engine is switched
+_MIN_KNOWN_DECODE_FRACTION = 0.8  # share of decode engines whose speed must be known before one is switched to prefill
+_SHORTAGE_FRACTION = 0.4  # of the prefill demand; a decode engine is switched when capacity is below it
 _ORDER_INTERVAL_S = 1.0  # shortest time between two orders for a service
 _MIN_ENGINES = 4  # services with fewer are not balanced
-_REGISTRY_SETTLE_S = 1.5  # after the lease, until the registry of a new leader is complete enough
-_ORDER_TIMEOUT_S = 14.0  # an engine may carry out an order for so long
-_FENCES_PER_TERM = 2**20  # range of fencing tokens of one term
+_REGISTRY_SETTLE_S = 1.5  # after the order lease, for backend servers to announce themselves to a new leader
+_ORDER_TIMEOUT_S = 14.0  # longest time in which an engine carries out an order
+_FENCING_TOKENS_PER_TERM = 2**20  # range of fencing tokens of one term
 _events = EventLog("stages")
 
 
@@ -69,8 +69,8 @@
 class StageKeeper:
     """On the leader, keeps the share of prefill capacity near the share of prefill in the work of each service.
 
-    Only the leader sends orders, with fencing tokens that contain its term. A new leader first waits for the
-    lease on orders, `lease_s` seconds.
+    Only the leader sends orders, with fencing tokens that contain its term. A new leader sends none until the order
+    lease of its predecessor has expired, `lease_s` seconds after its term began, and `_REGISTRY_SETTLE_S` more.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
                 return
 
     def _expire_orders(self, records: list[Any], now: float) -> None:
-        """Removes the orders without effect for `_ORDER_TIMEOUT_S`, including those of previous leaders."""
+        """Clears pending orders whose stage change was not seen within `_ORDER_TIMEOUT_S`, also of previous leaders."""
         pending = {record.id for record in records if record.ordered_stage}
         since_by_backend = self._pending_since_by_backend
         self._pending_since_by_backend = {backend: since_by_backend.get(backend, now) for backend in pending}
@@ -123,8 +123,8 @@
     def _balance(self, service: str, records: list[Any], now: float) -> bool:
         """Sends an order when prefill capacity is too high or too low; returns whether an order was sent.
 
-        A service without requests so far is balanced for an assumed prefill fraction: a switch takes an engine out of
-        use for seconds, which would fall into its first burst.
+        While no engine speed is known, the prefill fraction is assumed: a switch takes an engine out of use for
+        seconds, so it is made before the first burst of requests rather than during it.
         """
         if (
             len(records) < _MIN_ENGINES
@@ -134,29 +134,29 @@
         prefill = [record for record in records if self._effective_stage(record) == "prefill"]
         decode = [record for record in records if self._effective_stage(record) == "decode"]
         fraction, speeds = self._statistics.prefill_fraction(service), self._estimated_speeds(records)
-        unused = not any(self._statistics.relative_speed(record.id, record.stage) for record in records)
-        if unused:
+        no_speed_known = not any(self._statistics.relative_speed(record.id, record.stage) for record in records)
+        if no_speed_known:
             fraction = _ASSUMED_PREFILL_FRACTION
         elif fraction is None or not self._speeds_known(prefill, _MIN_KNOWN_PREFILL_FRACTION):
             return False
-        capacity = sum(speeds[record.id] for record in prefill)
-        needed = fraction * sum(speeds.values())
+        prefill_capacity = sum(speeds[record.id] for record in prefill)
+        prefill_demand = fraction * sum(speeds.values())
         surplus = [
             record
             for record in prefill
-            if (unused or self._speeds_known([record], 1.0))
-            and capacity - speeds[record.id] >= needed * _CAPACITY_MARGIN_FACTOR
+            if (no_speed_known or self._speeds_known([record], 1.0))
+            and prefill_capacity - speeds[record.id] >= prefill_demand * _CAPACITY_MARGIN_FACTOR
         ]
         if surplus:
             fastest = max(surplus, key=lambda record: speeds[record.id])
-            return self._send_order(fastest, "decode", service, capacity, needed)
+            return self._send_order(fastest, "decode", service, prefill_capacity, prefill_demand)
         if (
-            capacity < needed * _SHORTAGE_FRACTION
+            prefill_capacity < prefill_demand * _SHORTAGE_FRACTION
             and len(decode) > 1
             and self._speeds_known(decode, _MIN_KNOWN_DECODE_FRACTION)
         ):
             slowest = min(decode, key=lambda record: speeds[record.id])
-            return self._send_order(slowest, "prefill", service, capacity, needed)
+            return self._send_order(slowest, "prefill", service, prefill_capacity, prefill_demand)
         return False
 
     def _effective_stage(self, record: Any) -> str:
@@ -169,31 +169,33 @@
         A prefill engine of unknown speed counts as the slowest: slow ones are chosen less often and so measured late.
         """
         known = {record.id: self._statistics.relative_speed(record.id, record.stage) for record in records}
-        learned = [speed for speed in known.values() if speed is not None] or [1.0]
-        mean = sum(learned) / len(learned)
-        assumed = {record.id: min(learned) if record.stage == "prefill" else mean for record in records}
+        known_speeds = [speed for speed in known.values() if speed is not None] or [1.0]
+        mean = sum(known_speeds) / len(known_speeds)
+        assumed = {record.id: min(known_speeds) if record.stage == "prefill" else mean for record in records}
         return {backend: assumed[backend] if speed is None else speed for backend, speed in known.items()}
 
     def _speeds_known(self, records: list[Any], fraction: float) -> bool:
         """Whether the speed of at least this fraction of the engines is known."""
-        learned = [self._statistics.relative_speed(record.id, record.stage) is not None for record in records]
-        return sum(learned) >= fraction * len(records)
+        is_known = [self._statistics.relative_speed(record.id, record.stage) is not None for record in records]
+        return sum(is_known) >= fraction * len(records)
 
-    def _send_order(self, record: Any, stage: str, service: str, capacity: float, needed: float) -> bool:
+    def _send_order(
+        self, record: Any, stage: str, service: str, prefill_capacity: float, prefill_demand: float
+    ) -> bool:
         if not self._engines.record_stage_order(record.id, stage):
             self._engines.record_stage_order(record.id, "")
             return False
-        fence = self._term * _FENCES_PER_TERM + next(self._order_numbers)
-        answer = self._orders.switch(record, stage, self._vm, fence)
+        fencing_token = self._term * _FENCING_TOKENS_PER_TERM + next(self._order_numbers)
+        answer = self._orders.switch(record, stage, self._vm, fencing_token)
         _events.emit(
             "stage_ordered",
             backend=record.id,
             service=service,
             stage=stage,
-            fence=fence,
+            fence=fencing_token,
             answer=answer.value,
-            prefill_capacity=capacity,
-            needed=needed,
+            prefill_capacity=prefill_capacity,
+            needed=prefill_demand,
         )
         now = self._clock.monotonic()
         self._ordered_at_by_service[service] = now
--- a/libs/arbutusrill_site/_waiting_queue.py
+++ b/libs/arbutusrill_site/_waiting_queue.py
@@ -10,11 +10,11 @@
 
 __all__ = ["Ticket", "WaitingQueue", "output_tokens_of"]
 
-_TICKET_EXPIRY_S = 0.4  # after its last poll, a ticket is dropped
+_TICKET_EXPIRY_S = 0.4  # time after the end of its last poll at which a ticket is dropped
 _MAX_POLL_GAP_S = 0.03  # between two polls; after a longer gap a request does not block those behind it
 _RATE_WINDOW_S = 4.0  # window over which released places are counted
 _MIN_RELEASES_PER_S_PER_ENGINE = 1.0  # lower bound on the assumed release rate
-_DEADLINE_RETENTION_S = 20.0  # a caller that retries later gets a new deadline
+_DEADLINE_RETENTION_S = 20.0  # time for which a passed deadline is kept; a caller that retries later gets a new one
 
 
 @dataclass(slots=True)
@@ -23,9 +23,9 @@
 
     number: int
     service: str
-    placement_deadline: float  # latest time of a place that meets the objective for the first event
+    placement_deadline: float  # latest time at which getting a place still lets the first event meet its objective
     job_size: float  # mean KV cache tokens of the stream times its output tokens
-    polled_until: float  # end of the last poll; the entry VM polls in short steps and keeps its position
+    polled_until: float  # end of the current or last poll; the entry VM polls in short steps and keeps its position
     continued: bool = False  # whether it had a place on an engine that failed
 
     def sort_key(self, now: float) -> tuple[bool, bool, float, int]:
@@ -38,7 +38,7 @@
 
 
 class WaitingQueue:
-    """Tickets by request ID, served by `Ticket.sort_key`.
+    """Tickets by request ID, served in the order of `Ticket.sort_key`.
 
     Not thread-safe: the caller holds a lock around each call. Times are on the monotonic clock.
     """
@@ -47,13 +47,13 @@
         self._numbers = itertools.count(1)
         self._ticket_by_request: dict[str, Ticket] = {}
         self._released_at: deque[float] = deque()
-        self._deadline_by_content: dict[int, float] = {}  # in order of first arrival
+        self._deadline_by_content: dict[int, float] = {}  # monotonic time by content hash, in order of first arrival
 
     def __len__(self) -> int:
         return len(self._ticket_by_request)
 
     def resume(self, request: Any, now: float) -> Ticket | None:
-        """Returns the ticket of a request that polls again and extends its poll; None for a new request."""
+        """Returns the ticket of a request that polls again, extended to the end of its poll; None if new."""
         ticket = self._ticket_by_request.get(request.request_id)
         if ticket is not None:
             ticket.polled_until = now + request.wait_ms / 1000
@@ -73,7 +73,7 @@
         return ticket
 
     def end_poll(self, request: Any, ticket: Ticket, now: float) -> None:
-        """Ends a poll without a place; removes the request when the poll covered `request.patience_ms`."""
+        """Ends a poll without a place; removes a request that will not poll again because its `patience_ms` is over."""
         ticket.polled_until = now
         if request.wait_ms >= request.patience_ms:
             self.remove(request)
@@ -98,7 +98,7 @@
         self._ticket_by_request.pop(request.request_id, None)
 
     def drop_expired(self, now: float) -> None:
-        """Removes the tickets that were not polled within `_TICKET_EXPIRY_S`."""
+        """Removes the tickets whose last poll ended more than `_TICKET_EXPIRY_S` ago."""
         expired = [
             key for key, ticket in self._ticket_by_request.items() if now - ticket.polled_until > _TICKET_EXPIRY_S
         ]
@@ -116,13 +116,13 @@
                 yield other
 
     def record_release(self, now: float) -> None:
-        """Records the release of a place, from which the release rate is measured."""
+        """Records the release of a place of any service, for the release rate."""
         self._released_at.append(now)
 
     def expected_wait_s(self, ticket: Ticket, now: float, engines: int) -> float:
         """Returns the expected seconds until the ticket gets a place, from its position and the release rate.
 
-        The release rate is that of the last `_RATE_WINDOW_S`, at least `_MIN_RELEASES_PER_S_PER_ENGINE` an engine.
+        The release rate is that of the last `_RATE_WINDOW_S`, at least `_MIN_RELEASES_PER_S_PER_ENGINE` per engine.
         """
         while self._released_at and now - self._released_at[0] > _RATE_WINDOW_S:
             self._released_at.popleft()
--- a/libs/arbutusrill_site/tests/test_places.py
+++ b/libs/arbutusrill_site/tests/test_places.py
@@ -267,7 +267,7 @@
 def busy_prefill_ledger(clock):
     """Returns a ledger whose only prefill engine is busy for longer than a decode engine takes for a prompt."""
     places = ledger(engine("d"), engine("p", "prefill"), clock=clock, tokens=10**9)
-    places.speeds.speed_of("p", "prefill").busy_until = clock.monotonic() + 0.5
+    places.speeds.unit_time_of("p", "prefill").busy_until = clock.monotonic() + 0.5
     return places
 
 
--- a/libs/arbutusrill_site/tests/test_speeds.py
+++ b/libs/arbutusrill_site/tests/test_speeds.py
@@ -13,9 +13,9 @@
 
 
 def test_prefill_engine_overlaps_the_next_prompt_with_the_end_of_the_current_one():
-    speed = EngineSpeeds().speed_of("engine-1", "prefill")
-    speed.add_prompt(2000, 10.0)
-    assert 10.0 < speed.busy_until < speed.ends_at(2000, 10.0) - 2000 * speed.unit_s + 1e-9 < 10.09
+    estimate = EngineSpeeds().unit_time_of("engine-1", "prefill")
+    estimate.add_prompt(2000, 10.0)
+    assert 10.0 < estimate.busy_until < estimate.ends_at(2000, 10.0) - 2000 * estimate.unit_s + 1e-9 < 10.09
 
 
 def test_stream_duration_follows_the_events_observed_for_the_expected_output():
@@ -29,22 +29,22 @@
 def test_prompts_newer_than_a_completed_one_count_as_queued():
     # An engine slower than estimated was assigned prompts faster than it processed them, until they timed out at 1.5 s.
     speeds = EngineSpeeds()
-    speed = speeds.speed_of("engine-1", "prefill")
+    estimate = speeds.unit_time_of("engine-1", "prefill")
     for number in range(30):
-        speed.add_prompt(3000, 10.0 + number * 0.1)
-    assert speed.ends_at(3000, 13.0) < 13.3
+        estimate.add_prompt(3000, 10.0 + number * 0.1)
+    assert estimate.ends_at(3000, 13.0) < 13.3
     for number in range(3):
         speeds.learn_prefill("engine-1", 0.9 + number * 0.1, 3000, 11.0 + number)
-    assert speed.ends_at(3000, 13.0) > 14.0
+    assert estimate.ends_at(3000, 13.0) > 14.0
 
 
 def test_queueing_time_at_an_engine_does_not_lower_its_speed():
     # Two busy engines were estimated at half the capacity of one, so that a burst switched decode engines to prefill.
     speeds = EngineSpeeds()
     for start in range(3):
-        speeds.speed_of("engine-1", "prefill").add_prompt(3000, start)
+        speeds.unit_time_of("engine-1", "prefill").add_prompt(3000, start)
         speeds.learn_prefill("engine-1", 0.135, 3000, start + 0.135)
     for number in range(40):
-        speeds.speed_of("engine-1", "prefill").add_prompt(3000, 10.0 + number * 0.05)
+        speeds.unit_time_of("engine-1", "prefill").add_prompt(3000, 10.0 + number * 0.05)
         speeds.learn_prefill("engine-1", 0.3 + number * 0.02, 3000, 10.3 + number * 0.07)
     assert speeds.relative_speed("engine-1", "prefill") > 0.9
