--- a/libs/arbutusrill_bench/capacity.py
+++ b/libs/arbutusrill_bench/capacity.py
@@ -162,7 +162,7 @@
     clock = SystemClock()
     for count in counts:
         owner = GrantOwner(lambda _: Limits(1000.0, 20_000.0), clock)
-        owner.enter_epoch(1)
+        owner.begin_epoch(1)
         request = messages.GrantRequest(
             "vm", 1, [messages.GrantItem(f"workspace{number}", 50.0, 0.0) for number in range(count)], 1
         )
--- a/libs/arbutusrill_bench/state_cost.py
+++ b/libs/arbutusrill_bench/state_cost.py
@@ -53,7 +53,7 @@
 def _print_grant_cost() -> None:
     for items in (1, 10, 100):
         owner = GrantOwner(lambda _: Limits(1e9, 1e9), SystemClock())
-        owner.enter_epoch(1)
+        owner.begin_epoch(1)
 
         def call(number: int, owner: GrantOwner = owner, items: int = items) -> object:
             wanted = [messages.GrantItem(f"workspace-{index}", 100.0, 0.0, 50.0) for index in range(items)]
--- a/libs/arbutusrill_control/_housekeeping.py
+++ b/libs/arbutusrill_control/_housekeeping.py
@@ -17,9 +17,10 @@
 
 
 class Housekeeping:
-    """Schedules journal sweeps, the removal of dead VMs and the release and timeout of orders.
+    """Schedules journal sweeps, the removal of dead VMs and the progress of orders.
 
-    Times are on the leader's monotonic clock.
+    The orders are those of operators to model servers; they are released, and fail after a timeout. Times are on the
+    leader's monotonic clock.
     """
 
     def __init__(self, clock: Clock):
@@ -41,7 +42,7 @@
             # A new group has no replicas of older versions. In an existing group an operator raises the level.
             changes.append(messages.SetFeatureLevel(FEATURE_LEVEL))
         changes += self._sweep_journal(state)
-        changes += self._forget_vms(state)
+        changes += self._remove_dead_vms(state)
         changes += self._advance_orders(state)
         return changes
 
@@ -53,7 +54,7 @@
         self._last_swept_at = now
         return [messages.JournalSweep(0, elapsed_ms)] if state.journal.entries_by_key else []
 
-    def _forget_vms(self, state: SharedState) -> list[Any]:
+    def _remove_dead_vms(self, state: SharedState) -> list[Any]:
         now = self._clock.monotonic()
         dead = {(vm.id, vm.incarnation) for vm in list(state.config.vms_by_id.values()) if vm.state == "dead"}
         owners = {pool.owner for pool in list(state.config.pools_by_name.values())}
@@ -67,9 +68,10 @@
         ]
 
     def _advance_orders(self, state: SharedState) -> list[Any]:
-        """Returns the changes that release requested orders and fail those that exceeded ``orders.timeout_s``.
+        """Returns the changes that release requested orders and fail those that timed out.
 
-        At most ``orders.parallel`` orders that load weights are active at once.
+        They set requested orders to ``released`` and active ones older than ``orders.timeout_s`` to ``failed``. At
+        most ``orders.parallel`` orders that load weights are active at once.
         """
         now = self._clock.monotonic()
         orders = list(state.config.orders_by_id.values())
@@ -98,6 +100,7 @@
 
 
 def _with_state(order: Any, state: str, detail: str) -> Any:
+    """Returns the change that sets the state and the detail of an order."""
     return messages.PutOrder(
         order.id, order.server, order.pool, order.action, order.argument_json, state, order.fencing, detail
     )
--- a/libs/arbutusrill_control/_leases.py
+++ b/libs/arbutusrill_control/_leases.py
@@ -15,9 +15,9 @@
 @dataclass(slots=True)
 class _Lease:
     incarnation: int
-    expires_at: float
-    revision: int
-    ended: bool = False  # no renewal until the VM's state "dead" is committed
+    expires_at: float  # includes the clock drift, so never earlier than the VM assumes
+    revision: int  # that the VM had applied at its last poll
+    renewal_blocked: bool = False  # until the VM's state "dead" is committed
 
 
 class VmLeases:
@@ -32,7 +32,8 @@
     def begin_term(self) -> None:
         """Drops all leases when this VM becomes leader.
 
-        The previous leader's leases are unknown, so every VM counts as holding one for one lease time and drift.
+        The previous leader's leases are unknown, so every VM counts as holding one until `VM_LEASE_S` +
+        `CLOCK_DRIFT_S` after this call.
         """
         with self._lock:
             self._term_started_at = self._clock.monotonic()
@@ -41,15 +42,15 @@
     def renew(self, vm: str, incarnation: int, revision: int, received_at: float) -> float:
         """Renews a lease and returns its duration in seconds, which the VM counts from sending its request.
 
-        The lease runs from `received_at`, when the request arrived. If it ran from the response, a VM that freezes
-        during its long poll would keep its pools longer by the duration of the poll.
+        The lease runs from `received_at`, when the request arrived. If it ran from the response, the pools of a VM
+        that freezes during its long poll would be reassigned later, by the duration of the poll.
 
         Returns 0 while the VM is being declared dead: it gets a lease again only after it has registered again,
         when its pools have been reassigned.
         """
         with self._lock:
             lease = self._lease_by_vm.get(vm)
-            if lease is not None and lease.incarnation == incarnation and lease.ended:
+            if lease is not None and lease.incarnation == incarnation and lease.renewal_blocked:
                 return 0.0
             expires_at = received_at + VM_LEASE_S + CLOCK_DRIFT_S
             if lease is not None and lease.incarnation == incarnation:
@@ -57,21 +58,21 @@
             self._lease_by_vm[vm] = _Lease(incarnation, expires_at, revision)
         return VM_LEASE_S
 
-    def end_if_expired(self, vm: str, incarnation: int) -> bool:
+    def block_renewal_if_expired(self, vm: str, incarnation: int) -> bool:
         """Blocks renewal of an expired lease and returns True, so that the VM can be declared dead; else False."""
         with self._lock:
             if self._may_be_valid(vm, incarnation):
                 return False
             lease = self._lease_by_vm.get(vm)
             if lease is None or lease.incarnation == incarnation:
-                self._lease_by_vm[vm] = _Lease(incarnation, float("-inf"), 0, ended=True)
+                self._lease_by_vm[vm] = _Lease(incarnation, float("-inf"), 0, renewal_blocked=True)
             return True
 
-    def drop_ended(self, vm: str, incarnation: int) -> None:
-        """Removes an ended lease once the VM's state "dead" is committed, so that the VM can register again."""
+    def drop_blocked(self, vm: str, incarnation: int) -> None:
+        """Removes a blocked lease once the VM's state "dead" is committed, so that the VM can register again."""
         with self._lock:
             lease = self._lease_by_vm.get(vm)
-            if lease is not None and lease.incarnation == incarnation and lease.ended:
+            if lease is not None and lease.incarnation == incarnation and lease.renewal_blocked:
                 del self._lease_by_vm[vm]
 
     def may_be_valid(self, vm: str, incarnation: int) -> bool:
--- a/libs/arbutusrill_control/_metrics.py
+++ b/libs/arbutusrill_control/_metrics.py
@@ -20,7 +20,7 @@
 
     def collect(self) -> Iterable[GaugeMetricFamily]:
         status = self._service.log.status()
-        state = self._service.machine.state
+        state = self._service.state_machine.state
         values = {
             "leader": (float(self._service.log.is_leader()), "1 when this control VM leads"),
             "term": (status.term, "term of the replicated log"),
--- a/libs/arbutusrill_control/_operator.py
+++ b/libs/arbutusrill_control/_operator.py
@@ -44,8 +44,8 @@
     ):
         self._service = service
         self._token_hash_by_operator = token_hash_by_operator
-        self._backends = BackendInventory(service.machine.state.config)
-        self._changes = OperatorChanges(service.machine.state.config, control, self._backends, clock)
+        self._backends = BackendInventory(service.state_machine.state.config)
+        self._changes = OperatorChanges(service.state_machine.state.config, control, self._backends, clock)
         self._routes = Map(
             [
                 *self._read_rules(),
@@ -156,7 +156,7 @@
 
     @property
     def _config(self) -> Any:
-        return self._service.machine.state.config
+        return self._service.state_machine.state.config
 
     def _copy_values(self, records: dict[str, Any]) -> list[Any]:
         with self._config.lock:
--- a/libs/arbutusrill_control/_service.py
+++ b/libs/arbutusrill_control/_service.py
@@ -33,9 +33,9 @@
     Only the leader answers calls that change the state or whose answer must be current.
     """
 
-    def __init__(self, log: ReplicatedLog, machine: SharedMachine, clock: Clock):
+    def __init__(self, log: ReplicatedLog, state_machine: SharedMachine, clock: Clock):
         self.log = log
-        self.machine = machine
+        self.state_machine = state_machine
         self.leases = VmLeases(clock)
         self.grants = GrantOwner(self._limits_of, clock)
         self.housekeeping = Housekeeping(clock)
@@ -59,38 +59,38 @@
     def follow(self, request: Any) -> Any:
         """Long poll of an entry VM: returns the changes after its revision and renews its lease.
 
-        The reply is read after a quorum has confirmed the leadership. It holds a snapshot if the changes are no longer
-        kept.
+        The reply is read after a quorum has confirmed the leadership. It holds a snapshot if the changes
+        since that revision are no longer in memory.
         """
         received_at = self._clock.monotonic()
         self._require_leadership()
         self._register_vm(request)
-        if self.machine.wait_for_change(request.revision, min(request.wait_ms, _MAX_POLL_MS) / 1000):
+        if self.state_machine.wait_for_change(request.revision, min(request.wait_ms, _MAX_POLL_MS) / 1000):
             time.sleep(_BATCH_DELAY_S)
         self._confirm_leadership()
-        # Read after the confirmation, so that the caller is up to date once it has applied this revision.
-        commands, revision = self.machine.state.commands_after(request.revision)
+        # Read after the confirmation: the reply then holds every change that was committed before the call.
+        commands, revision = self.state_machine.state.commands_after(request.revision)
         snapshot = None
         if commands is None:
-            snapshot = self.machine.state.config.snapshot(with_first_answers=False)
+            snapshot = self.state_machine.state.config.snapshot(with_first_answers=False)
             revision = snapshot.revision
         lease_s = 0.0
         if request.vm:
             lease_s = self.leases.renew(request.vm, request.incarnation, request.revision, received_at)
-            registered = self.machine.state.config.vms_by_id.get(request.vm)
+            registered = self.state_machine.state.config.vms_by_id.get(request.vm)
             if registered is None or registered.incarnation != request.incarnation or registered.state == "dead":
                 lease_s = 0.0
         return messages.FollowReply(commands or [], snapshot, revision, int(lease_s * 1000), "")
 
     def begin_call(self, proposal: Any) -> Any:
-        """Journals the start of a once-only call and returns whether the caller may send it."""
+        """Records the start of a once-only call in the journal; the `BeginAnswer` tells whether the caller may send."""
         outcome = self.propose(proposal)
         if not outcome.accepted:
             raise messages.Refused(outcome.code, outcome.message)
         return decode(messages.BeginAnswer, outcome.detail)
 
     def finish_call(self, proposal: Any) -> Any:
-        """Journals the outcome of a once-only call."""
+        """Records the outcome of a once-only call in the journal."""
         return self.propose(proposal)
 
     def grant(self, request: Any) -> Any:
@@ -102,18 +102,18 @@
         return self.grants.grant(request, term)
 
     def _limits_of(self, workspace: str) -> Limits | None:
-        found = self.machine.state.config.limits_of(workspace)
+        found = self.state_machine.state.config.limits_of(workspace)
         return None if found is None else Limits(*found)
 
     def open_pool(self, name: str, kind: str) -> None:
-        """Creates a pool if it is new and assigns it to a live VM if it has no owner."""
+        """Assigns a pool that is new or has no owner to a live VM; does nothing without a live VM."""
         self._confirm_leadership()
-        current = self.machine.state.config.pools_by_name.get(name)
+        current = self.state_machine.state.config.pools_by_name.get(name)
         if current is None or not current.owner:
             self._assign_pool(name, kind, 1 if current is None else current.epoch + 1)
 
     def report_burn(self, vm: str, incarnation: int, rows: list[Any]) -> None:
-        """Stores an entry VM's counts of good and bad requests."""
+        """Stores an entry VM's counts of good and bad requests, from which burn rates are computed."""
         self._require_leadership()
         self.burn.store_report(vm, incarnation, rows)
 
@@ -127,7 +127,7 @@
             status.leader,
             status.commit_index,
             status.applied_index,
-            self.machine.state.config.revision,
+            self.state_machine.state.config.revision,
             status.voters,
             status.learners,
             status.fault,
@@ -146,37 +146,37 @@
             self._term = status.term
             self.leases.begin_term()
             self.housekeeping.begin_term()
-        self.grants.enter_epoch(status.term)
-        config = self.machine.state.config
+        self.grants.begin_epoch(status.term)
+        config = self.state_machine.state.config
         for vm in list(config.vms_by_id.values()):
-            if vm.state != "dead" and self.leases.end_if_expired(vm.id, vm.incarnation):
+            if vm.state != "dead" and self.leases.block_renewal_if_expired(vm.id, vm.incarnation):
                 _log.warning("VM %s declared dead: its lease has expired", vm.id)
-                self._propose_change(
+                self._try_propose(
                     messages.PutVm(vm.id, vm.http_address, vm.rpc_address, vm.data_centre, vm.incarnation, "dead")
                 )
         for pool in list(config.pools_by_name.values()):
-            if not self._owner_is_live(pool):
+            if not self._owner_is_current(pool):
                 self._assign_pool(pool.name, pool.kind, pool.epoch + 1)
         for vm in list(config.vms_by_id.values()):
             if vm.state == "dead":
-                self.leases.drop_ended(vm.id, vm.incarnation)
-        for change in self.housekeeping.due_changes(self.machine.state):
-            self._propose_change(change)
+                self.leases.drop_blocked(vm.id, vm.incarnation)
+        for change in self.housekeeping.due_changes(self.state_machine.state):
+            self._try_propose(change)
 
-    def _owner_is_live(self, pool: Any) -> bool:
-        vm = self.machine.state.config.vms_by_id.get(pool.owner)
+    def _owner_is_current(self, pool: Any) -> bool:
+        vm = self.state_machine.state.config.vms_by_id.get(pool.owner)
         return vm is not None and vm.state != "dead" and vm.incarnation == pool.owner_incarnation
 
     def _assign_pool(self, name: str, kind: str, epoch: int) -> None:
-        live = [vm for vm in self.machine.state.config.vms_by_id.values() if vm.state == "live"]
+        live = [vm for vm in self.state_machine.state.config.vms_by_id.values() if vm.state == "live"]
         vm = rendezvous(name, live)
         if vm is not None:
-            self._propose_change(messages.AssignPool(name, kind, vm.id, vm.incarnation, epoch))
+            self._try_propose(messages.AssignPool(name, kind, vm.id, vm.incarnation, epoch))
 
     def _register_vm(self, request: Any) -> None:
         if not request.vm:
             return
-        registered = self.machine.state.config.vms_by_id.get(request.vm)
+        registered = self.state_machine.state.config.vms_by_id.get(request.vm)
         wanted = messages.PutVm(
             request.vm,
             request.http_address,
@@ -188,7 +188,8 @@
         if registered != wanted:
             self.propose(command(wanted, "control", self._clock.wall_ms()))
 
-    def _propose_change(self, change: Any) -> None:
+    def _try_propose(self, change: Any) -> None:
+        """Proposes a change; a refusal is only logged."""
         try:
             self.propose(command(change, "control", self._clock.wall_ms()))
         except messages.Refused as refused:
@@ -201,6 +202,7 @@
             raise messages.Refused("not_leader", f"not the leader, try {leader or 'another'}", leader=leader)
 
     def _confirm_leadership(self) -> None:
+        """Waits until a quorum confirms the leadership; refuses the call otherwise."""
         try:
             self.log.confirm(1.0)
         except NotLeaderError as error:
--- a/libs/arbutusrill_control/tests/support.py
+++ b/libs/arbutusrill_control/tests/support.py
@@ -59,9 +59,9 @@
 class ControlHarness:
     def __init__(self):
         self.clock = ManualClock(100.0)
-        self.machine = SharedMachine()
-        self.log = ControllableLog(self.machine)
-        self.service = ControlService(self.log, self.machine, self.clock)
+        self.state_machine = SharedMachine()
+        self.log = ControllableLog(self.state_machine)
+        self.service = ControlService(self.log, self.state_machine, self.clock)
         self.client = InProcessControlClient(self.service)
         hashes = {name: _sha256(token) for name, token in TOKENS.items()}
         self.app = OperatorApp(self.service, self.client, self.clock, hashes)
@@ -70,7 +70,7 @@
 
     @property
     def config(self):
-        return self.machine.state.config
+        return self.state_machine.state.config
 
     def follow(self, vm, incarnation=1, state="live", revision=None):
         revision = self.config.revision if revision is None else revision
--- a/libs/arbutusrill_control/tests/test_operator.py
+++ b/libs/arbutusrill_control/tests/test_operator.py
@@ -105,7 +105,7 @@
     assert control.request("DELETE", f"orders/{other}").status_code == 200
     order = control.config.orders_by_id[order_id]
     for state in ("released", "running"):
-        control.service._propose_change(messages.PutOrder(**{**vars(order), "state": state}))
+        control.service._try_propose(messages.PutOrder(**{**vars(order), "state": state}))
     assert control.request("DELETE", f"orders/{order_id}").status_code == 409
 
 
--- a/libs/arbutusrill_control/tests/test_service.py
+++ b/libs/arbutusrill_control/tests/test_service.py
@@ -69,9 +69,9 @@
     leases = VmLeases(clock)
     leases.begin_term()
     clock.advance(5)
-    assert leases.end_if_expired("a", 1)
+    assert leases.block_renewal_if_expired("a", 1)
     assert leases.renew("a", 1, 0, clock.monotonic()) == 0.0
-    leases.drop_ended("a", 1)
+    leases.drop_blocked("a", 1)
     assert leases.renew("a", 1, 0, clock.monotonic()) > 0
 
 
@@ -159,7 +159,10 @@
     elapsed_s = []
     revision = control.config.revision
     thread = threading.Thread(
-        target=lambda: (control.machine.wait_for_change(revision, 0.5), elapsed_s.append(time.monotonic() - started))
+        target=lambda: (
+            control.state_machine.wait_for_change(revision, 0.5),
+            elapsed_s.append(time.monotonic() - started),
+        )
     )
     thread.start()
     for number in range(20):
@@ -175,9 +178,9 @@
     control.service.finish_call(command(messages.JournalFinish("w", "k", 1, "done", begin_id="b1"), "a", 0))
     control.clock.step_wall(10**6)
     control.run_for(40, "a")
-    assert control.machine.state.journal.entries_by_key
+    assert control.state_machine.state.journal.entries_by_key
     control.run_for(40, "a")
-    assert not control.machine.state.journal.entries_by_key
+    assert not control.state_machine.state.journal.entries_by_key
 
 
 def test_grants_need_a_quorum_and_a_new_term_starts_with_empty_buckets(control):
--- a/libs/arbutusrill_limits/_leases.py
+++ b/libs/arbutusrill_limits/_leases.py
@@ -1,4 +1,4 @@
-"""Charges requests on an entry VM against tokens that the owner has granted to it."""
+"""Charges requests on an entry VM against tokens granted to it by the `GrantOwner` on the control group's leader."""
 
 from __future__ import annotations
 
@@ -25,6 +25,8 @@
 
 @dataclass(slots=True)
 class _PendingRequest:
+    """Request without a reply so far; `sent_at` is its first sending, from which the leases of its grants count."""
+
     request: Any
     sent_at: float
 
@@ -62,7 +64,7 @@
         self._draining = False
 
     def charge(self, workspace: str, tokens: float, deadline: float, is_caller_gone: Callable[[], bool]) -> Charge:
-        """Returns a charge of `tokens` that is paid when its context is entered.
+        """Returns a charge that takes `tokens` from the grants when its context is entered.
 
         Entering waits until `deadline` (monotonic, seconds) and meanwhile polls `is_caller_gone`, which returns whether
         the caller has disconnected and may raise. Entering raises `FailureError`: 429 ``rate_limited``, 400
@@ -71,7 +73,7 @@
         """
         return Charge(self, workspace, max(0.0, tokens), deadline, is_caller_gone)
 
-    def _pay(self, charge: Charge) -> list[tuple[HeldGrant, float]]:
+    def _acquire_tokens(self, charge: Charge) -> list[tuple[HeldGrant, float]]:
         if charge.tokens == 0:
             return []
         limits = self._limits_of(charge.workspace)
@@ -88,26 +90,26 @@
             held = self._held_tokens(charge.workspace)
             held.waiting_tokens_by_charge[charge_id] = charge.tokens
         try:
-            while (parts := self._try_pay(held, charge_id, charge, limits)) is None:
+            while (taken_by_grant := self._try_acquire_tokens(held, charge_id, charge, limits)) is None:
                 if charge.is_caller_gone():
                     raise FailureError(Failure("caller_gone", "the caller has left", status=499))
                 with self._lock:
                     held.changed.wait(self._poll_interval_s)
-            return parts
+            return taken_by_grant
         finally:
             with self._lock:
                 held.waiting_tokens_by_charge.pop(charge_id, None)
                 held.changed.notify_all()
 
-    def _try_pay(self, held: HeldTokens, charge_id: int, charge: Charge, limits: Limits) -> list | None:
+    def _try_acquire_tokens(self, held: HeldTokens, charge_id: int, charge: Charge, limits: Limits) -> list | None:
         with self._lock:
             now = self._clock.monotonic()
             if next(iter(held.waiting_tokens_by_charge)) == charge_id:
-                parts = held.spend(charge.tokens, now)
-                if parts is not None:
+                taken_by_grant = held.spend(charge.tokens, now)
+                if taken_by_grant is not None:
                     if held.demand(now)[1] > 0:
                         self._exchange_wanted.notify()
-                    return parts
+                    return taken_by_grant
             self._exchange_wanted.notify()
             remaining = charge.deadline - now
             expected_wait_s = self._expected_wait_s(held, charge_id, limits.rate, now)
@@ -122,7 +124,7 @@
         raise FailureError(Failure("rate_limited", message, status=429, retry_after=max(0.1, expected_wait_s)))
 
     def _expected_wait_s(self, held: HeldTokens, charge_id: int, rate: float, now: float) -> float:
-        """Returns the seconds until a charge can be paid, predicted from the owner's last reply, or 0."""
+        """Returns the seconds until a charge gets its tokens, predicted from the owner's last reply; 0 if none."""
         if held.blocked_until <= now:
             return 0.0
         tokens_after_first = 0.0
@@ -133,7 +135,7 @@
                 break
         return held.blocked_until - now + tokens_after_first / rate
 
-    def refund_unused(self, charge: Charge, parts: list[tuple[HeldGrant, float]], unused: float) -> None:
+    def refund_unused(self, charge: Charge, taken_by_grant: list[tuple[HeldGrant, float]], unused: float) -> None:
         """Returns `unused` tokens of a charge to their grants, or to the owner if a grant has expired."""
         if unused <= 0:
             return
@@ -141,13 +143,13 @@
             held = self._held_tokens(charge.workspace)
             now = self._clock.monotonic()
             held.subtract_usage(unused, now)
-            for grant, tokens in reversed(parts):
-                part = min(unused, tokens)
-                unused -= part
+            for grant, tokens in reversed(taken_by_grant):
+                refunded = min(unused, tokens)
+                unused -= refunded
                 if now < grant.expires_at and not self._draining:
-                    grant.tokens += part
+                    grant.tokens += refunded
                 else:
-                    held.add_return(grant.epoch, grant.issued_us, part)
+                    held.add_return(grant.epoch, grant.issued_us, refunded)
             held.changed.notify_all()
             self._exchange_wanted.notify()
 
@@ -176,6 +178,7 @@
                     self._exchange_wanted.wait(self._pause_s())
 
     def _pause_s(self) -> float:
+        """Returns the longest time to wait for a notification before the next exchange."""
         now = self._clock.monotonic()
         pause = 0.5
         for held in self._held_by_workspace.values():
@@ -220,6 +223,7 @@
         for workspace, held in self._held_by_workspace.items():
             held.return_idle(now)
             held.expire(now)
+            # While draining, tokens are requested only when charges wait.
             needed, wanted = (0.0, 0.0) if self._draining and not held.waiting_tokens_by_charge else held.demand(now)
             if now < held.next_request_at:
                 needed, wanted = 0.0, 0.0
@@ -261,19 +265,19 @@
 
 
 class Charge:
-    """Context manager that pays tokens for one request on entry and refunds the unused ones on exit.
+    """Context manager that takes tokens for one request from the grants on entry and refunds the unused ones on exit.
 
     `used` is the number of tokens kept on exit, initially all. If the context exits with a `FailureError` whose verdict
     is ``NOT_RUN``, everything is refunded. `settle` refunds before the exit.
     """
 
-    __slots__ = ("_leases", "_parts", "_settled", "deadline", "is_caller_gone", "tokens", "used", "workspace")
+    __slots__ = ("_leases", "_taken_by_grant", "_settled", "deadline", "is_caller_gone", "tokens", "used", "workspace")
 
     def __init__(
         self, leases: TokenLeases, workspace: str, tokens: float, deadline: float, is_caller_gone: Callable[[], bool]
     ):
         self._leases = leases
-        self._parts: list[tuple[HeldGrant, float]] = []
+        self._taken_by_grant: list[tuple[HeldGrant, float]] = []
         self._settled = False
         self.workspace = workspace
         self.tokens = tokens
@@ -282,14 +286,14 @@
         self.is_caller_gone = is_caller_gone
 
     def __enter__(self) -> Charge:
-        self._parts = self._leases._pay(self)
+        self._taken_by_grant = self._leases._acquire_tokens(self)
         return self
 
     def settle(self, used: float) -> None:
         """Refunds the tokens above `used`, once; use beyond the charged tokens is not charged."""
         if not self._settled:
             self._settled = True
-            self._leases.refund_unused(self, self._parts, self.tokens - max(0.0, used))
+            self._leases.refund_unused(self, self._taken_by_grant, self.tokens - max(0.0, used))
 
     def __exit__(self, kind: object, error: object, _: object) -> None:
         not_run = isinstance(error, FailureError) and error.failure.verdict is Verdict.NOT_RUN
--- a/libs/arbutusrill_limits/_owner.py
+++ b/libs/arbutusrill_limits/_owner.py
@@ -15,13 +15,15 @@
 
 __all__ = ["GrantOwner"]
 
-_NEED_TTL_S = 1.0  # a VM that does not repeat its request for this long loses its place in the queue
-_MAX_CACHED_REPLIES = 4096  # by VM incarnation; the target deployment has 390 nodes and 110 restarts a day
+_NEED_TTL_S = 1.0  # a VM that does not repeat its request for this long loses its position in the queue
+_MAX_CACHED_REPLIES = 4096  # one for each VM incarnation; the target deployment has 390 nodes and 110 restarts a day
 _US_PER_S = 1_000_000
 
 
 @dataclass(slots=True)
-class _WaitingNeed:
+class _QueuedNeed:
+    """Tokens that a waiting VM lacks for its first charge; dropped at `expires_at` unless repeated."""
+
     tokens: float
     expires_at: float
 
@@ -31,7 +33,7 @@
     """Bucket of a workspace and the VMs that wait for tokens, in first-come, first-served order."""
 
     bucket: Bucket
-    need_by_vm: OrderedDict[str, _WaitingNeed] = field(default_factory=OrderedDict)
+    need_by_vm: OrderedDict[str, _QueuedNeed] = field(default_factory=OrderedDict)
 
 
 @dataclass(slots=True)
@@ -57,8 +59,8 @@
         self._account_by_workspace: dict[str, _Account] = {}
         self._last_reply_by_vm: OrderedDict[tuple[str, int], _LastReply] = OrderedDict()
 
-    def enter_epoch(self, epoch: int) -> None:
-        """Discards all buckets and cached replies unless `epoch` is the current epoch."""
+    def begin_epoch(self, epoch: int) -> None:
+        """Starts an epoch with empty buckets and without cached replies; does nothing if `epoch` is the current one."""
         with self._lock:
             if epoch == self._epoch:
                 return
@@ -74,7 +76,7 @@
         once and its grants are made once. Raises `messages.Refused` with ``stale_request`` for a sequence number lower
         than the last one, and with ``not_leader`` for another epoch.
         """
-        self.enter_epoch(epoch)
+        self.begin_epoch(epoch)
         with self._lock:
             if epoch != self._epoch:
                 raise messages.Refused("not_leader", f"the grant epoch is {self._epoch}, not {epoch}")
@@ -98,7 +100,7 @@
     def _grant_for_item(self, vm: str, item: Any, now: float) -> Any:
         limits = self._limits_of(item.workspace)
         if limits is None:
-            # The account is kept: a workspace that is removed and created again must not get a second burst.
+            # Its account is not deleted: a workspace that is removed and created again must not get a second burst.
             return messages.Grant(item.workspace, 0.0, 0, 0.0)
         account = self._account(item.workspace, limits, now)
         bucket = account.bucket
@@ -120,7 +122,7 @@
         return account
 
     def _allocate(self, account: _Account, vm: str, item: Any, now: float) -> tuple[float, float]:
-        """Returns the tokens granted and, if none, the expected seconds until enough are available."""
+        """Returns the tokens granted, and the expected seconds until `item.needed` are available, 0 if they are."""
         bucket = account.bucket
         needs = account.need_by_vm
         for name in [name for name, need in needs.items() if need.expires_at < now]:
@@ -133,10 +135,10 @@
         needed = min(max(item.needed, 0.0), bucket.limits.capacity)
         others_needed = sum(need.tokens for name, need in needs.items() if name != vm)
         if needed > 0 and bucket.level - preceding_tokens < needed:
-            needs[vm] = _WaitingNeed(needed, now + _NEED_TTL_S)
+            needs[vm] = _QueuedNeed(needed, now + _NEED_TTL_S)
             return 0.0, (preceding_tokens + needed - bucket.level) / bucket.limits.rate
         needs.pop(vm, None)
-        # Prefetched tokens come only from those that no other VM waits for.
+        # The tokens beyond `needed` are a prefetch: only tokens that no other VM waits for go into it.
         spare = max(0.0, bucket.level - others_needed - needed)
         tokens = needed + min(max(0.0, item.wanted - needed), spare)
         if tokens > 0:
--- a/libs/arbutusrill_limits/tests/test_bound.py
+++ b/libs/arbutusrill_limits/tests/test_bound.py
@@ -37,7 +37,7 @@
     def new_owner(self):
         self.epoch += 1
         self.owner = GrantOwner(lambda _: self.limits, self.clock)
-        self.owner.enter_epoch(self.epoch)
+        self.owner.begin_epoch(self.epoch)
 
     def set_limits(self, limits):
         self.limits = limits
--- a/libs/arbutusrill_limits/tests/test_owner.py
+++ b/libs/arbutusrill_limits/tests/test_owner.py
@@ -17,7 +17,7 @@
 @pytest.fixture
 def owner(clock):
     grant_owner = GrantOwner({"a": LIMITS}.get, clock)
-    grant_owner.enter_epoch(1)
+    grant_owner.begin_epoch(1)
     clock.advance(10)
     return grant_owner
 
@@ -113,7 +113,7 @@
 def test_lower_burst_cuts_the_balance_at_once(clock):
     limits = {"a": LIMITS}
     owner = GrantOwner(limits.get, clock)
-    owner.enter_epoch(1)
+    owner.begin_epoch(1)
     clock.advance(10)
     limits["a"] = Limits(1000.0, 400.0)
     assert request_grant(owner, 1, 5000).tokens == pytest.approx(limits["a"].capacity)
@@ -122,7 +122,7 @@
 def test_removed_workspace_gets_no_second_burst(clock):
     limits = {"a": LIMITS}
     owner = GrantOwner(limits.get, clock)
-    owner.enter_epoch(1)
+    owner.begin_epoch(1)
     clock.advance(10)
     request_grant(owner, 1, 1500)
     del limits["a"]
