--- a/libs/arbutusrill_control/tests/test_service.py
+++ b/libs/arbutusrill_control/tests/test_service.py
@@ -214,7 +214,7 @@
 def test_lease_runs_from_the_arrival_of_the_request():
     """Guards against leases that run from the response.
 
-    A VM that froze during its long poll then kept its pools 0.4 s longer than the design allows.
+    The pools of a VM that froze during its long poll then stayed assigned to it 0.4 s longer than the design allows.
     """
     clock = ManualClock()
     leases = VmLeases(clock)
--- a/libs/arbutusrill_limits/tests/test_owner.py
+++ b/libs/arbutusrill_limits/tests/test_owner.py
@@ -110,7 +110,7 @@
     assert sequence < 32
 
 
-def test_lower_burst_cuts_the_balance_at_once(clock):
+def test_lower_burst_caps_the_bucket_level_at_once(clock):
     limits = {"a": LIMITS}
     owner = GrantOwner(limits.get, clock)
     owner.begin_epoch(1)
--- a/libs/arbutusrill_site/tests/test_stages.py
+++ b/libs/arbutusrill_site/tests/test_stages.py
@@ -75,8 +75,8 @@
         for _ in range(4):
             clock.advance(10)
             stages.tick(term)
-    fences = [fence for *_, fence in orders.sent]
-    assert fences == sorted(set(fences)) and len(fences) >= 2
+    fencing_tokens = [token for *_, token in orders.sent]
+    assert fencing_tokens == sorted(set(fencing_tokens)) and len(fencing_tokens) >= 2
 
 
 def test_fenced_leader_sends_no_further_order():
@@ -99,7 +99,7 @@
     assert [record.id for record in records if record.ordered_stage] == ["p2"]
 
 
-def test_no_order_for_balanced_small_or_unmeasured_services():
+def test_no_order_for_services_that_are_balanced_small_or_of_unknown_prefill_fraction():
     for records, work in ((engines(2, 7), Work(0.2)), (engines(2, 1), Work()), (engines(4, 5), Work(None))):
         orders = Orders()
         clock, stages = keeper(orders, records, work)
@@ -111,12 +111,12 @@
 
 def test_service_without_requests_is_balanced_for_the_assumed_prefill_fraction():
     # A first switch during the first burst of requests took an engine out of use for six seconds.
-    class Unused(Work):
+    class NoSpeedKnown(Work):
         def relative_speed(self, backend, stage):
             return None
 
     orders = Orders()
-    clock, stages = keeper(orders, engines(4, 5), Unused(None))
+    clock, stages = keeper(orders, engines(4, 5), NoSpeedKnown(None))
     stages.tick(7)
     for _ in range(7):
         clock.advance(2)
