--- a/libs/arbutusrill_entry/_cleanup.py
+++ b/libs/arbutusrill_entry/_cleanup.py
@@ -1,4 +1,4 @@
-"""Background jobs that are retried until they succeed: cancellations and releases."""
+"""Background jobs that are retried until they succeed or time out: cancellations and releases."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
                 heapq.heappush(self._jobs, job)
                 self._changed.notify()
                 return
-        self._run_job(job, last=True)
+        self._run_job(job, last_attempt=True)
 
     def pending(self) -> int:
         """Returns the number of jobs that are queued or running."""
@@ -104,14 +104,15 @@
                     return None
                 self._changed.wait(min(0.5, self._jobs[0].due_at - now) if self._jobs else 0.5)
 
-    def _run_job(self, job: _Job, last: bool = False) -> bool:
+    def _run_job(self, job: _Job, last_attempt: bool = False) -> bool:
+        """Runs a job once; returns False, with the job's next start time set, if it is to be retried."""
         try:
             done = job.run()
         except Exception:
             _log.exception("cleanup job %s raised an exception", job.description)
             done = False
         now = time.monotonic()
-        if not done and not last and now < job.deadline:
+        if not done and not last_attempt and now < job.deadline:
             job.due_at = now + job.backoff_s
             job.backoff_s = min(2 * job.backoff_s, _MAX_BACKOFF_S)
             return False
--- a/libs/arbutusrill_entry/_completions.py
+++ b/libs/arbutusrill_entry/_completions.py
@@ -38,16 +38,16 @@
         completion = parse_completion(request, chat)
         refuse_key_in_body(request, self._context.follower)
         call.route = "chat" if chat else "completions"
-        assigned = self._context.pools.find_pool(completion.model)
-        if assigned is None or assigned.kind != "model":
+        pool = self._context.pools.find_pool(completion.model)
+        if pool is None or pool.kind != "model":
             message = f"the model {completion.model!r} does not exist"
             raise FailureError(Failure("model_not_found", message, status=404, param="model"))
         requirements = self._make_requirements(request, completion, guard, call.request_id)
         caller = request.environ["werkzeug.socket"]
         tokens = completion.prompt_tokens + completion.max_tokens
-        check = make_wait_check(caller, guard)
-        with self._context.limits.charge(guard.workspace, tokens, requirements.deadline, check) as charge:
-            charge.used = 0
+        wait_check = make_wait_check(caller, guard)
+        with self._context.limits.charge(guard.workspace, tokens, requirements.deadline, wait_check) as charge:
+            charge.used = 0  # refunds all tokens if no server is assigned
             with ServerReservation(self._context, requirements, caller, guard) as reservation:
                 relay = Relay(self._context, reservation, completion, guard)
                 try:
@@ -110,9 +110,9 @@
         self._chat = completion.chat
         template = json.dumps({**self._envelope, "choices": [_choice(completion.chat, "\0", None)]}, ensure_ascii=False)
         # Token events differ only in their text, so the JSON around it is encoded once.
-        before, _, after = template.partition('"\\u0000"')
-        self._text_prefix = b"data: " + before.encode()
-        self._text_suffix = after.encode() + b"\n\n"
+        prefix, _, suffix = template.partition('"\\u0000"')
+        self._text_prefix = b"data: " + prefix.encode()
+        self._text_suffix = suffix.encode() + b"\n\n"
 
     @property
     def begun(self) -> bool:
@@ -129,8 +129,8 @@
         self._write(data)
 
     def write_tokens(self, texts: list[str]) -> None:
-        before, after = self._text_prefix, self._text_suffix
-        self.write(b"".join([before + _json_string(text) + after for text in texts]))
+        prefix, suffix = self._text_prefix, self._text_suffix
+        self.write(b"".join([prefix + _json_string(text) + suffix for text in texts]))
 
     def write_end(self, result: RelayResult, include_usage: bool) -> None:
         last = _sse_event({**self._envelope, "choices": [_choice(self._chat, "", result.finish_reason)]})
@@ -162,10 +162,10 @@
 
 
 def _envelope(completion: Completion, request_id: str, streamed: bool) -> dict[str, Any]:
-    kind = "chat.completion" if completion.chat else "text_completion"
+    object_type = "chat.completion" if completion.chat else "text_completion"
     if completion.chat and streamed:
-        kind = "chat.completion.chunk"
-    return {"id": request_id, "object": kind, "created": int(time.time()), "model": completion.model}
+        object_type = "chat.completion.chunk"
+    return {"id": request_id, "object": object_type, "created": int(time.time()), "model": completion.model}
 
 
 def _choice(chat: bool, text: str, finish_reason: str | None) -> dict[str, Any]:
--- a/libs/arbutusrill_entry/_drain.py
+++ b/libs/arbutusrill_entry/_drain.py
@@ -49,6 +49,7 @@
             min(deadline, time.monotonic() + _POOL_RELEASE_TIMEOUT_S),
         ):
             _log.warning("pools not released in time, their leases will expire")
+        # Callers with a cached list of entry VMs still open connections to this VM.
         margin_s = float(follower.config.value("entries.max_age_s")) + _ENTRIES_MARGIN_S
         self._wait(lambda: False, min(deadline, time.monotonic() + margin_s))
         self._server.stop_listening()
--- a/libs/arbutusrill_entry/_reservation.py
+++ b/libs/arbutusrill_entry/_reservation.py
@@ -90,8 +90,8 @@
         self._acquire(self._requirements.deadline)
         return self
 
-    def __exit__(self, kind: object, *_: object) -> None:
-        if kind is None:
+    def __exit__(self, exception_type: object, *_: object) -> None:
+        if exception_type is None:
             self._release_now("done")
         else:
             self._cancel_and_release(*self._failure)
@@ -139,16 +139,16 @@
         self._context.held.add(self._requirements.pool, self.assignment, self._requirements.workspace, "assigned")
 
     def _wait_for_assignment(self, deadline: float) -> Any:
-        problem = "no answer from the pool's owner"
+        reason = "no answer from the pool's owner"
         while True:
             remaining_s = deadline - time.monotonic()
             if remaining_s <= 0:
-                raise FailureError(Failure("queue_timeout", f"no place before the deadline ({problem})", retry_after=1))
+                raise FailureError(Failure("queue_timeout", f"no place before the deadline ({reason})", retry_after=1))
             self._check_waiting()
             try:
                 reply = self._context.pools.call(self._requirements.pool, "acquire", self._acquire_request(remaining_s))
             except (messages.Refused, RpcError) as error:
-                problem = getattr(error, "message", "") or str(error)
+                reason = getattr(error, "message", "") or str(error)
                 time.sleep(min(_RETRY_PAUSE_S, remaining_s))
                 continue
             if reply.status == "assigned":
@@ -156,7 +156,7 @@
             if reply.status == "refused":
                 retry_s = reply.retry_after_ms / 1000 if reply.retry_after_ms >= 0 else 1.0
                 raise FailureError(Failure(reply.code or "overloaded", reply.message, retry_after=retry_s))
-            problem = "all servers are busy"
+            reason = "all servers are busy"
 
     def _acquire_request(self, remaining_s: float) -> Any:
         requirements = self._requirements
@@ -200,7 +200,10 @@
 
 
 class _CancelAndRelease:
-    """Cleanup job that cancels a request at the engines that may hold it and then releases its ticket."""
+    """Cleanup job that cancels a request at the engines that may hold it and releases its ticket.
+
+    The ticket is released once all engines have acknowledged the cancellation, or after `_MAX_CANCEL_WAIT_S` seconds.
+    """
 
     def __init__(self, context: EntryContext, release: Any, addresses: dict[str, None]):
         self._context = context
--- a/libs/arbutusrill_entry/_services.py
+++ b/libs/arbutusrill_entry/_services.py
@@ -29,7 +29,7 @@
 
 
 class Services:
-    """Serves ``/services/<name>/<path>``."""
+    """Serves calls to ``/services/<name>/<path>``."""
 
     def __init__(self, context: EntryContext):
         self._context = context
@@ -128,7 +128,7 @@
                 try:
                     reservation.reassign(outcome, reservation.assignment.decode_server)
                 except FailureError as error:
-                    raise self._add_verdict(error.failure) from None
+                    raise self._with_call_verdict(error.failure) from None
         raise AssertionError("the last attempt returns or raises")
 
     def _make_requirements(self) -> Requirements:
@@ -158,10 +158,10 @@
         transfer = self._make_transfer(reservation, attempt, answer)
         if self._journaled is not None:
             self._journaled.check_send(self.requirements.deadline)
-        before = self.verdict
-        self.verdict = before.worst(Verdict.MAY_HAVE_RUN)
+        earlier_verdict = self.verdict
+        self.verdict = earlier_verdict.worst(Verdict.MAY_HAVE_RUN)
         result = fetch(transfer)
-        self.verdict = before.worst(result.verdict)
+        self.verdict = earlier_verdict.worst(result.verdict)
         if result.error == "gone":
             raise AbortStreamError
         if result.error == "stopped":
@@ -208,7 +208,8 @@
         if not self._repeatable or not self._context.take_retry():
             raise FailureError(failure)
 
-    def _add_verdict(self, failure: Failure) -> FailureError:
+    def _with_call_verdict(self, failure: Failure) -> FailureError:
+        """Returns an error with the worst verdict of the call's attempts and of `failure`."""
         verdict = self.verdict.worst(failure.verdict)
         return FailureError(Failure(failure.code, failure.message, verdict, failure.status, failure.retry_after))
 
