--- a/libs/arbutusrill_pool/_admission.py
+++ b/libs/arbutusrill_pool/_admission.py
@@ -31,7 +31,7 @@
 
     prefill_servers: int = 0
     prefill_s_per_token: float = 1 / DEFAULT_PREFILL_TOKENS_PER_S
-    slots: int = 0
+    slots: int = 0  # of all decode servers, or of all servers of a plain service
     gap_s: float = DEFAULT_TOKEN_GAP_S
     output_fraction: float = 1.0  # generated output tokens / requested ones
     call_duration_s: float = DEFAULT_CALL_DURATION_S
@@ -41,19 +41,19 @@
         prefills = index.stage("prefill").ready.members
         self.prefill_servers = len(prefills)
         if prefills:
-            rate = sum(server.speed.prefill_tokens_per_s / server.speed.prefill_ratio for server in prefills)
-            self.prefill_s_per_token = len(prefills) / rate
+            tokens_per_s = sum(server.speed.prefill_tokens_per_s / server.speed.prefill_ratio for server in prefills)
+            self.prefill_s_per_token = len(prefills) / tokens_per_s
         decodes = index.stage("decode").ready.members
         self.slots = index.stage("decode").slots or index.stage("plain").slots
         if decodes:
             self.gap_s = sum(server.speed.token_gap_at(server.assigned + 1) for server in decodes) / len(decodes)
 
-    def observe(self, requested: int, tokens: int, call_duration_s: float, plain: bool) -> None:
+    def observe(self, requested_tokens: int, generated_tokens: int, call_duration_s: float, plain: bool) -> None:
         """Updates `output_fraction` from a finished request, or `call_duration_s` from a call to a plain service."""
         if plain:
             self.call_duration_s += _SMOOTHING_FACTOR * (call_duration_s - self.call_duration_s)
-        elif requested > 0 and tokens > 0:
-            fraction = min(1.0, tokens / requested)
+        elif requested_tokens > 0 and generated_tokens > 0:
+            fraction = min(1.0, generated_tokens / requested_tokens)
             self.output_fraction += _SMOOTHING_FACTOR * (max(_MIN_OUTPUT_FRACTION, fraction) - self.output_fraction)
 
     def prefill_duration_s(self, request: Any) -> float:
@@ -69,14 +69,15 @@
         slots = max(1, self.slots)
         if plain:
             return Cost(0.0, self.call_duration_s / slots)
-        prefill = self.prefill_duration_s(request)
-        decode = prefill + self.decode_duration_s(request)
-        return Cost(prefill / max(1, self.prefill_servers), decode / slots)
+        prefill_s = self.prefill_duration_s(request)
+        # The decode slot is reserved before the prefill starts.
+        decode_s = prefill_s + self.decode_duration_s(request)
+        return Cost(prefill_s / max(1, self.prefill_servers), decode_s / slots)
 
     def actual_cost(self, prefill_s: float, tokens: int) -> Cost:
         """Returns the cost of a finished request from its prefill time and its number of output tokens."""
-        decode = prefill_s + tokens * self.gap_s
-        return Cost(prefill_s / max(1, self.prefill_servers), decode / max(1, self.slots))
+        decode_s = prefill_s + tokens * self.gap_s
+        return Cost(prefill_s / max(1, self.prefill_servers), decode_s / max(1, self.slots))
 
 
 @dataclass(slots=True, frozen=True)
@@ -97,12 +98,12 @@
     must be complete by its deadline, so its first token is due `decode_s`, the predicted duration of its output,
     before that.
     """
-    deadline = request.deadline_ms / 1000
+    deadline_s = request.deadline_ms / 1000
     if request.latency_class == "briefing":
-        return WaitLimit(max(0.0, deadline - decode_s), Band.DEFERRED)
+        return WaitLimit(max(0.0, deadline_s - decode_s), Band.DEFERRED)
     if request.latency_class == "lookup":
-        return WaitLimit(min(deadline, config_value("queue.max_wait_s.lookup") + idle_first_token_s), Band.URGENT)
+        return WaitLimit(min(deadline_s, config_value("queue.max_wait_s.lookup") + idle_first_token_s), Band.URGENT)
     if plain:
-        return WaitLimit(min(deadline, config_value("queue.max_wait_s.interactive")), Band.URGENT)
-    target = config_value("targets.first_token_s")
-    return WaitLimit(deadline if idle_first_token_s >= target else min(deadline, target), Band.URGENT)
+        return WaitLimit(min(deadline_s, config_value("queue.max_wait_s.interactive")), Band.URGENT)
+    target_s = config_value("targets.first_token_s")
+    return WaitLimit(deadline_s if idle_first_token_s >= target_s else min(deadline_s, target_s), Band.URGENT)
--- a/libs/arbutusrill_pool/_fair_queue.py
+++ b/libs/arbutusrill_pool/_fair_queue.py
@@ -17,10 +17,10 @@
 
 LOAD_INTERVAL_S = 0.5  # update interval of loads and credits
 MAX_CREDIT_S = 10.0  # unused seconds of its share that a workspace can save up
-MAX_DEBT_S = 1.0  # largest debt; keeps the use of idle capacity from counting for longer
+MAX_DEBT_S = 1.0  # in seconds of its share; limits how long past use of idle capacity counts against a workspace
 COST_KINDS = ("prefill_s", "decode_s")
 ACTIVE_WINDOW_S = 10.0  # a workspace active within this time reduces the shares of the others
-_LOAD_SMOOTHING_FACTOR = 0.1  # per `LOAD_INTERVAL_S`; loads follow a change within 5 s
+_LOAD_SMOOTHING_FACTOR = 0.1  # per `LOAD_INTERVAL_S`; a time constant of about 5 s
 IDLE_TIMEOUT_S = 30.0  # a workspace without requests for this long is removed
 
 
@@ -32,11 +32,11 @@
     weight: float
     last_active_at: float
     virtual_time: float = 0.0
-    queued: int = 0
+    queued: int = 0  # number of waiting tickets
     backlog: dict[Band, Cost] = field(default_factory=lambda: {band: Cost() for band in Band})
     waiting: dict[Band, list] = field(default_factory=lambda: {band: [] for band in Band})
-    slots: int = 0
-    prefills: int = 0
+    slots: int = 0  # number of slots in use
+    prefills: int = 0  # number of prefills in progress or queued at a server
     load: Cost = field(default_factory=Cost)  # smoothed use, in seconds of the whole pool per second
     mean_in_use: dict[str, float] = field(default_factory=dict)  # smoothed `in_use` by kind
     credit: dict[str, float] = field(default_factory=dict)  # seconds of the whole pool, by kind of cost
@@ -60,14 +60,14 @@
 
         `fraction` is the workspace's fair share of the pool, by which its credit grows.
         """
-        for name in COST_KINDS:
-            before, used = getattr(self.load, name), getattr(self.charged, name)
-            setattr(self.load, name, before + _LOAD_SMOOTHING_FACTOR * (used / elapsed_s - before))
-            self.mean_in_use[name] = self.mean_in_use.get(name, 0.0) + _LOAD_SMOOTHING_FACTOR * (
-                self.in_use(name) - self.mean_in_use.get(name, 0.0)
+        for kind in COST_KINDS:
+            load, used = getattr(self.load, kind), getattr(self.charged, kind)
+            setattr(self.load, kind, load + _LOAD_SMOOTHING_FACTOR * (used / elapsed_s - load))
+            self.mean_in_use[kind] = self.mean_in_use.get(kind, 0.0) + _LOAD_SMOOTHING_FACTOR * (
+                self.in_use(kind) - self.mean_in_use.get(kind, 0.0)
             )
-            credit = self.credit.get(name, fraction * MAX_CREDIT_S) + fraction * elapsed_s - used
-            self.credit[name] = min(fraction * MAX_CREDIT_S, max(-fraction * MAX_DEBT_S, credit))
+            credit = self.credit.get(kind, fraction * MAX_CREDIT_S) + fraction * elapsed_s - used
+            self.credit[kind] = min(fraction * MAX_CREDIT_S, max(-fraction * MAX_DEBT_S, credit))
         self.charged = Cost()
 
 
@@ -118,7 +118,7 @@
         assert share.queued >= 0 and self.length >= 0, "the queue length is negative"
         share.backlog[ticket.band].add(ticket.cost, -1.0)
         if share.queued == 0:
-            share.backlog = {band: Cost() for band in Band}
+            share.backlog = {band: Cost() for band in Band}  # removes rounding errors of the subtractions
 
     def charge(self, share: Share, cost: Cost) -> None:
         """Charges a workspace for an assigned request."""
@@ -140,8 +140,8 @@
         """Returns the next ticket of a band from a workspace that is not in `skipped_workspaces`."""
         heap = self._heaps[band]
         popped_entries = []
-        found = None
-        while heap and found is None:
+        head_ticket = None
+        while heap and head_ticket is None:
             entry = heapq.heappop(heap)
             virtual_time, _, share = entry
             ticket = self._first_waiting(share, band)
@@ -154,10 +154,10 @@
                 continue
             popped_entries.append(entry)
             if share.workspace not in skipped_workspaces:
-                found = ticket
+                head_ticket = ticket
         for entry in popped_entries:
             heapq.heappush(heap, entry)
-        return found
+        return head_ticket
 
     def promote(self, ticket: Ticket) -> None:
         """Moves a deferred ticket to the urgent band."""
@@ -168,12 +168,12 @@
 
     def due_deferred(self, before: float) -> list[Ticket]:
         """Returns each workspace's first deferred ticket if its first token is due before `before`."""
-        found = []
+        due_tickets = []
         for share in self.share_by_workspace.values():
             ticket = self._first_waiting(share, Band.DEFERRED)
             if ticket is not None and ticket.first_token_due_at < before:
-                found.append(ticket)
-        return found
+                due_tickets.append(ticket)
+        return due_tickets
 
     def predicted_wait_s(self, share: Share, band: Band, now: float) -> float:
         """Returns the predicted queueing time of a new ticket of `share`, in seconds.
@@ -184,21 +184,21 @@
         """
         over_share = self.exceeds_share(share, now)
         bands = [other for other in Band if other <= band]
-        own_backlog = sum(share.backlog[other].price for other in bands)
-        start_tag = max(share.virtual_time, self._virtual_now) + own_backlog / share.weight
+        backlog_price = sum(share.backlog[other].price for other in bands)
+        start_tag = max(share.virtual_time, self._virtual_now) + backlog_price / share.weight
         ahead, load = Cost(), Cost()
         for other in self.share_by_workspace.values():
             if other is not share:
                 load.add(other.load)
             if not other.queued or (not over_share and other is not share and self.exceeds_share(other, now)):
                 continue
-            for each in bands:
-                cost = other.backlog[each]
-                if other is share or band > each or not cost.price:
+            for other_band in bands:
+                cost = other.backlog[other_band]
+                if other is share or band > other_band or not cost.price:
                     ahead.add(cost)
                     continue
-                allowed = max(0.0, (start_tag - other.virtual_time) * other.weight)
-                ahead.add(cost, min(1.0, allowed / cost.price))
+                price_ahead = max(0.0, (start_tag - other.virtual_time) * other.weight)
+                ahead.add(cost, min(1.0, price_ahead / cost.price))
         if not over_share:
             return max(ahead.prefill_s, ahead.decode_s)
         fraction = share.weight / max(share.weight, self.active_weight)
@@ -222,9 +222,9 @@
         The prediction from their recent charges is bounded by 1.5 times their recent mean use plus 2, since
         overestimated costs would otherwise leave capacity idle.
         """
-        held = max(0.0, self._mean_in_use[kind] - share.mean_in_use.get(kind, 0.0))
+        mean_use = max(0.0, self._mean_in_use[kind] - share.mean_in_use.get(kind, 0.0))
         predicted = total * max(0.0, self._load[kind] - getattr(share.load, kind))
-        return min(predicted, 1.5 * held + 2)
+        return min(predicted, 1.5 * mean_use + 2)
 
     def add_usage(self, share: Share, slots: int, prefills: int) -> None:
         """Adds to the numbers of slots and prefills that a workspace holds; negative values release them."""
--- a/libs/arbutusrill_pool/_orders.py
+++ b/libs/arbutusrill_pool/_orders.py
@@ -54,9 +54,10 @@
     """Carries out the orders of one pool, one at a time for each server, in the order of their records.
 
     `report` records a new state of an order (a `PutOrder`) in the configuration; it raises or returns False if that
-    fails. Orders are retried under the same id, which engines use to deduplicate them; a new owner retries unfinished
-    orders with a higher fencing number. An earlier owner may have had an order in flight when it lost its lease, so
-    servers that do not check fencing numbers get no order until that one must have ended.
+    fails. `submit` runs a function in the background; it returns None if it rejects the function. Orders are retried
+    under the same id, which engines use to deduplicate them; a new owner retries unfinished orders with a higher
+    fencing number. An earlier owner may have had an order in flight when it lost its lease, so servers that do not
+    check fencing numbers get no order until that one must have ended.
     """
 
     def __init__(
@@ -79,22 +80,22 @@
         self._lock = threading.Lock()
         self._order_by_id: dict[str, _Order] = {}
         self._sequence = 0
-        delay = VM_LEASE_S + CLOCK_DRIFT_S + ORDER_TIMEOUT_S if epoch > 1 else 0.0
-        self._unfenced_allowed_at = clock.monotonic() + delay
+        delay_s = VM_LEASE_S + CLOCK_DRIFT_S + ORDER_TIMEOUT_S if epoch > 1 else 0.0
+        self._unfenced_allowed_at = clock.monotonic() + delay_s
 
     def reconcile(self, records: list[Any]) -> None:
         """Updates the drained servers and the active orders from the configuration."""
-        self._target.set_drained(_drained(records))
+        self._target.set_drained(_drained_servers(records))
         with self._lock:
             active_ids = {record.id for record in records if record.state in ACTIVE_STATES}
             for record in records:
                 if record.id in active_ids and record.id not in self._order_by_id:
-                    self._order_by_id[record.id] = self._new(record)
-            for order_id in [known for known in self._order_by_id if known not in active_ids]:
+                    self._order_by_id[record.id] = self._make_order(record)
+            for order_id in [each for each in self._order_by_id if each not in active_ids]:
                 if not self._order_by_id[order_id].running:
                     del self._order_by_id[order_id]
 
-    def _new(self, record: Any) -> _Order:
+    def _make_order(self, record: Any) -> _Order:
         try:
             argument = json.loads(record.argument_json or "{}")
         except ValueError:
@@ -108,12 +109,12 @@
         now = self._clock.monotonic()
         due: list[_Order] = []
         with self._lock:
-            busy: set[str] = set()
+            busy_servers: set[str] = set()
             for order in self._order_by_id.values():
                 server_id = order.record.server
-                if server_id in busy or order.reported:
+                if server_id in busy_servers or order.reported:
                     continue
-                busy.add(server_id)
+                busy_servers.add(server_id)
                 if not order.running and now >= order.due_at and self._may_start(order, now):
                     order.running = True
                     due.append(order)
@@ -123,12 +124,12 @@
     def _may_start(self, order: _Order, now: float) -> bool:
         if order.result is not None or order.record.action in OWNER_ACTIONS:
             return True
-        found = self._target.server_address(order.record.server)
-        if found is None:
+        address_info = self._target.server_address(order.record.server)
+        if address_info is None:
             return False
         if order.record.action == "set_role" and not self._target.hold_for_order(order.record.server, True):
             return False
-        return found[1] or now >= self._unfenced_allowed_at
+        return address_info[1] or now >= self._unfenced_allowed_at
 
     def _start(self, order: _Order) -> None:
         if order.tries == 0 and order.result is None:
@@ -161,12 +162,12 @@
         if record.action in OWNER_ACTIONS:
             order.result = ("done", "")
             return
-        found = self._target.server_address(record.server)
-        if found is None or not self._holds_lease():
-            order.tries -= 1
+        address_info = self._target.server_address(record.server)
+        if address_info is None or not self._holds_lease():
+            order.tries -= 1  # nothing was sent
             return
         body = {"id": record.id, "action": record.action, "argument": order.argument, "fencing": record.fencing}
-        order.result = self._outcome(order, self._client.order(found[0], body))
+        order.result = self._outcome(order, self._client.order(address_info[0], body))
         if order.result is not None and record.action == "set_role":
             self._target.hold_for_order(record.server, False)
 
@@ -193,7 +194,7 @@
             return False
 
 
-def _drained(records: list[Any]) -> frozenset[str]:
+def _drained_servers(records: list[Any]) -> frozenset[str]:
     """Returns the servers whose last drain or resume order, by the order of the records, is a drain."""
     last_by_server = {
         record.server: record.action
--- a/libs/arbutusrill_pool/_owner.py
+++ b/libs/arbutusrill_pool/_owner.py
@@ -64,7 +64,7 @@
         self._recovery_ends_at = clock.monotonic() + (RECOVERY_S if epoch > 1 else 0.0)
         self._unhealthy: dict[str, Server] = {}  # ejected or in slow start
         self._renewals_checked_at = float("-inf")
-        self._drained: frozenset[str] = frozenset()
+        self._drained_ids: frozenset[str] = frozenset()
         self._vms_reporting_prefills: set[tuple[str, int]] = set()  # (VM, incarnation)
         self._renewal_monitor = RenewalMonitor(self._allocations, self._index, call_queue, is_dead, self._on_cancelled)
 
@@ -116,6 +116,7 @@
         return messages.AcquireReply("assigned", allocation.assignment)
 
     def _check_lease(self) -> float:
+        """Returns the current time; raises `messages.Refused` while this VM's lease is not valid."""
         if not self._holds_lease():
             raise messages.Refused("not_owner", f"the lease of this VM is not running; it does not act for {self.name}")
         return self._clock.monotonic()
@@ -153,7 +154,7 @@
         return now >= self._recovery_ends_at and self._holds_lease()
 
     def _end_unreported_prefills(self, now: float) -> None:
-        # A VM that does not report the end of prefills: they count as ended at the predicted time.
+        # Prefills of VMs that do not report their end count as ended at the predicted time.
         for allocation in self._allocations.pop_due_prefills(now):
             if (allocation.vm, allocation.incarnation) not in self._vms_reporting_prefills:
                 self._allocations.end_prefill(allocation, now)
@@ -217,23 +218,24 @@
 
     def _update_estimates(self, allocation: Allocation, request: Any, now: float) -> None:
         assignment = allocation.assignment
-        prefill = self._index.by_id.get(assignment.prefill_server)
-        decode = self._index.by_id.get(assignment.decode_server)
+        prefill_server = self._index.by_id.get(assignment.prefill_server)
+        decode_server = self._index.by_id.get(assignment.decode_server)
         if request.prefill_s > 0 and allocation.prefill_s == 0:
             allocation.prefill_s = request.prefill_s
-            if prefill is not None:
-                prefill.speed.observe_prefill(allocation.predicted_prefill_s, request.prefill_s)
-                prefill.health.record_success(now)
+            if prefill_server is not None:
+                prefill_server.speed.observe_prefill(allocation.predicted_prefill_s, request.prefill_s)
+                prefill_server.health.record_success(now)
         if request.outcome == "prefilled":
             return
         if request.outcome in ("prefill_failed", "decode_failed"):
-            fallback = assignment.prefill_server if request.outcome == "prefill_failed" else assignment.decode_server
-            self._record_failure(request.failed_server or fallback, allocation.ticket, now)
-        elif request.outcome == "done" and decode is not None:
-            decode.health.record_success(now)
+            server_id = assignment.prefill_server if request.outcome == "prefill_failed" else assignment.decode_server
+            self._record_failure(request.failed_server or server_id, allocation.ticket, now)
+        elif request.outcome == "done" and decode_server is not None:
+            decode_server.health.record_success(now)
             if request.tokens > 1 and request.decode_s > 0:
-                batch = (allocation.batch + decode.assigned) / 2
-                decode.speed.observe_token_gap(request.decode_s / request.tokens, batch)
+                # mean of the batch sizes at the start and at the end
+                batch = (allocation.batch + decode_server.assigned) / 2
+                decode_server.speed.observe_token_gap(request.decode_s / request.tokens, batch)
             averages = self._dispatcher.averages
             averages.observe(
                 allocation.output_tokens, request.tokens, now - allocation.assigned_at, not assignment.prefill_server
@@ -270,24 +272,24 @@
         """Adds or updates a backend server from its announcement. A new incarnation replaces the server's state."""
         with self._lock:
             now = self._clock.monotonic()
-            known = self._index.by_id.get(announcement.id)
-            if known is not None and known.announcement.incarnation == announcement.incarnation:
-                before = known.announcement
-                if (before.role, before.data_centre) != (announcement.role, announcement.data_centre):
-                    self._index.remove(known)
-                known.update_announcement(announcement, now)
-                self._index.record_announcement(known)
-                self._index.update(known, now)
+            server = self._index.by_id.get(announcement.id)
+            if server is not None and server.announcement.incarnation == announcement.incarnation:
+                previous = server.announcement
+                if (previous.role, previous.data_centre) != (announcement.role, announcement.data_centre):
+                    self._index.remove(server)
+                server.update_announcement(announcement, now)
+                self._index.record_announcement(server)
+                self._index.update(server, now)
             else:
-                self._add_server(announcement, known, now)
+                self._add_server(announcement, server, now)
             self._dispatch(now)
 
-    def _add_server(self, announcement: Any, known: Server | None, now: float) -> None:
+    def _add_server(self, announcement: Any, replaced: Server | None, now: float) -> None:
         server = Server(announcement, now, SpeedEstimate.from_announcement(announcement))
         server.update_announcement(announcement, now)
-        if known is not None:
-            self._index.remove(known)
-            self._prefixes.remove_server(known.id)
+        if replaced is not None:
+            self._index.remove(replaced)
+            self._prefixes.remove_server(replaced.id)
             server.health.begin_slow_start(now)
             self._unhealthy[server.id] = server
         elif self.epoch > 1 and self._call_queue is not None and announcement.role != "plain":
@@ -295,7 +297,7 @@
             self._call_queue.read_requests(
                 announcement.address, lambda engine_requests: self._on_requests_read(server.id, engine_requests)
             )
-        server.drained = server.id in self._drained
+        server.drained = server.id in self._drained_ids
         self._dispatcher.plain = announcement.role == "plain"
         self._index.record_announcement(server)
         self._index.update(server, now)
@@ -351,13 +353,13 @@
         """Stops new assignments to exactly these servers; others drained before are resumed."""
         with self._lock:
             now = self._clock.monotonic()
-            changed = self._drained ^ server_ids
-            self._drained = server_ids
-            for server_id in changed & self._index.by_id.keys():
+            changed_ids = self._drained_ids ^ server_ids
+            self._drained_ids = server_ids
+            for server_id in changed_ids & self._index.by_id.keys():
                 server = self._index.by_id[server_id]
                 server.drained = server_id in server_ids
                 self._index.update(server, now)
-            if changed:
+            if changed_ids:
                 self._dispatch(now)
 
     def status(self) -> Any:
--- a/libs/arbutusrill_pool/_policy.py
+++ b/libs/arbutusrill_pool/_policy.py
@@ -14,9 +14,8 @@
 
 __all__ = ["POLICIES", "PlacementPolicy", "PlacementRequest", "policy_named"]
 
-LOCAL_CANDIDATES = (
-    4  # two random choices balance load almost as well as many; more are needed as servers differ in speed
-)
+# Two random choices balance load almost as well as many; more are needed as servers differ in speed.
+LOCAL_CANDIDATES = 4
 GLOBAL_CANDIDATES = 2
 CACHED_PREFIX_CANDIDATES = 2
 CROSS_DATA_CENTRE_PENALTY_S = 0.01  # a few times the network delay between data centres
@@ -141,8 +140,8 @@
     def place(self, request: PlacementRequest, index: ServerIndex, now: float) -> Placement | None:
         """Returns the best pair of the candidates, or None if a stage has none with room."""
         if request.plain:
-            found = self._candidates("plain", request, index, now)
-            best = min(found, key=lambda server: self._plain_score(server, request), default=None)
+            candidates = self._candidates("plain", request, index, now)
+            best = min(candidates, key=lambda server: self._plain_score(server, request), default=None)
             return Placement(None, best) if best is not None else None
         decodes = [self._decode_option(server, index) for server in self._candidates("decode", request, index, now)]
         if not decodes:
@@ -173,19 +172,20 @@
         return best
 
     def _candidates(self, stage: str, request: PlacementRequest, index: ServerIndex, now: float) -> list[Server]:
-        found = index.sample(stage, request.data_centre, LOCAL_CANDIDATES, GLOBAL_CANDIDATES)
+        candidates = index.sample(stage, request.data_centre, LOCAL_CANDIDATES, GLOBAL_CANDIDATES)
         if stage == "prefill" and request.cached_by_server:
-            known = {server.id for server in found}
-            found = list(found)
-            for name in itertools.islice(request.cached_by_server, CACHED_PREFIX_CANDIDATES):
-                server = index.by_id.get(name)
-                if server is not None and name not in known and index.is_open(server, "prefill"):
-                    found.append(server)
+            candidate_ids = {server.id for server in candidates}
+            candidates = list(candidates)
+            for server_id in itertools.islice(request.cached_by_server, CACHED_PREFIX_CANDIDATES):
+                server = index.by_id.get(server_id)
+                if server is not None and server_id not in candidate_ids and index.is_open(server, "prefill"):
+                    candidates.append(server)
         if not request.avoid:
-            return found
-        allowed = [server for server in found if server.id not in request.avoid]
-        if allowed or not found:
+            return candidates
+        allowed = [server for server in candidates if server.id not in request.avoid]
+        if allowed or not candidates:
             return allowed
+        # All candidates are to be avoided: look for others among all ready servers.
         usable = _ready_servers(stage, request, index)
         others = [server for server in usable if index.is_open(server, stage)]
         return others[: LOCAL_CANDIDATES + GLOBAL_CANDIDATES]
@@ -202,6 +202,7 @@
         )
 
     def _plain_score(self, server: Server, request: PlacementRequest) -> float:
+        """Returns the fraction of slots in use, plus a penalty if the server is in another data centre."""
         distance_penalty = 0.0 if server.announcement.data_centre == request.data_centre else 0.25
         return (server.assigned + server.untracked) / server.announcement.slots + distance_penalty
 
@@ -210,9 +211,11 @@
     if prefill is decode:
         return 0.0
     source, target = prefill.announcement, decode.announcement
-    rate = min(source.link_bytes_per_s or DEFAULT_LINK_BYTES_PER_S, target.link_bytes_per_s or DEFAULT_LINK_BYTES_PER_S)
-    size = tokens * (source.kv_bytes_per_token or DEFAULT_KV_BYTES_PER_TOKEN)
-    return size / rate
+    bytes_per_s = min(
+        source.link_bytes_per_s or DEFAULT_LINK_BYTES_PER_S, target.link_bytes_per_s or DEFAULT_LINK_BYTES_PER_S
+    )
+    byte_count = tokens * (source.kv_bytes_per_token or DEFAULT_KV_BYTES_PER_TOKEN)
+    return byte_count / bytes_per_s
 
 
 POLICIES: dict[str, Callable[[], PlacementPolicy]] = {
--- a/libs/arbutusrill_pool/_renewals.py
+++ b/libs/arbutusrill_pool/_renewals.py
@@ -50,8 +50,8 @@
         self._is_dead = is_dead
         self._on_cancelled = on_cancelled
         self._log = PartLog("pool renewals")
-        self._renewed_at: dict[tuple[str, int], float] = {}
-        self._orphan_by_key: dict[tuple[str, str], _Orphan] = {}
+        self._renewed_at: dict[tuple[str, int], float] = {}  # by VM and incarnation
+        self._orphan_by_key: dict[tuple[str, str], _Orphan] = {}  # by server ID and request ID
         self._unacknowledged: dict[str, set[str]] = {}  # engine addresses by ticket
 
     def renew(self, pool: str, request: Any, now: float) -> None:
@@ -93,7 +93,7 @@
             if engine_request.request_id not in self._allocations.allocation_by_ticket:
                 key = (server_id, engine_request.request_id)
                 self._orphan_by_key[key] = _Orphan(engine_request, server.announcement.address, now)
-        server.orphans = sum(1 for name, _ in self._orphan_by_key if name == server_id)
+        server.orphans = sum(1 for orphan_server_id, _ in self._orphan_by_key if orphan_server_id == server_id)
         self._index.update(server, now)
 
     def tick(self, now: float) -> None:
@@ -143,6 +143,7 @@
             del self._orphan_by_key[key]
             return
         engine_request = orphan.request
+        # An engine of several pools may hold requests whose tickets are at another pool's owner.
         overdue = now - orphan.found_at > RENEWAL_TIMEOUT_S and len(server.announcement.pools) == 1
         if orphan.cancelling or not (
             self._is_dead(engine_request.vm, engine_request.incarnation)
--- a/libs/arbutusrill_pool/_server.py
+++ b/libs/arbutusrill_pool/_server.py
@@ -12,7 +12,7 @@
 
 ANNOUNCEMENT_TIMEOUT_S = 2.0  # four announcement periods; one or two announcements are lost when an entry VM fails
 MAX_QUEUED_PREFILL_S = 0.05  # covers the round trip to the caller's entry VM
-MAX_REPORT_AGE_S = 1.0  # age that a load report can have
+MAX_REPORT_AGE_S = 1.0  # longest time by which a load report lags behind
 DEFAULT_PREFILL_TOKENS_PER_S = 10_000.0
 DEFAULT_TOKEN_GAP_S = 0.02
 DEFAULT_BATCH_SLOWDOWN = 0.03
@@ -76,7 +76,7 @@
 
     def observe_token_gap(self, measured_s: float, batch: float) -> None:
         """Updates the estimates from the mean time between tokens of a stream in a batch of `batch` streams."""
-        if batch <= 1.5:
+        if batch <= 1.5:  # mostly a single stream, which says nothing about the slowdown in a batch
             self.token_gap_s = _smooth(self.token_gap_s, measured_s)
             return
         slowdown = (measured_s / self.token_gap_s - 1) / (batch - 1)
@@ -93,13 +93,16 @@
         if self.token_gap_s > gap_s:
             return 0
         if self.batch_slowdown <= 0:
-            return 1 << 30
+            return 1 << 30  # no limit
         return 1 + math.floor((gap_s / self.token_gap_s - 1) / self.batch_slowdown + 1e-9)
 
 
 @dataclass(slots=True)
 class Server:
-    """State of one server. `assigned` is the number of slots taken by tickets, at most one for each ticket."""
+    """State of one server. Times are monotonic, in seconds.
+
+    `assigned` is the number of slots taken by tickets, at most one for each ticket.
+    """
 
     announcement: Any
     announced_at: float
@@ -109,7 +112,7 @@
     reported_untracked: int = 0  # requests in the load report beyond those assigned
     orphans: int = 0  # requests listed by the engine that have no ticket
     prefill_queue_ends_at: float = 0.0
-    last_prefill_at: float = float("-inf")  # when the last prefill was assigned
+    last_prefill_at: float = float("-inf")  # time of the last assignment of a prefill
     prefill_s_by_ticket: dict[str, float] = field(default_factory=dict)
     requests_read: bool = True  # False while a new owner still reads the engine's requests
     held_for_order: bool = False
@@ -201,8 +204,9 @@
     def accepts_prefill(self) -> bool:
         """Returns whether the prefill queue is short enough for another prefill.
 
-        One queued prefill keeps the server busy. A longer queue would take decode slots earlier than needed and fix the
-        order of requests that the pool's queue could still change.
+        One prefill queued behind the running one keeps the server busy. A longer queue would take decode slots earlier
+        than needed and fix the order of requests that the pool's queue could still change. Further prefills are
+        accepted only while those in the queue take less than `MAX_QUEUED_PREFILL_S` in total.
         """
         queued = self.prefill_s_by_ticket
         return len(queued) < 2 or (
--- a/libs/arbutusrill_pool/tests/model.py
+++ b/libs/arbutusrill_pool/tests/model.py
@@ -81,14 +81,14 @@
 
     def on_arrival(self, name):
         self.schedule_arrival(name, self.now())
-        traffic, draw = self.traffic[name], self.random[name]
+        traffic, rng = self.traffic[name], self.random[name]
         acquire_request = request(
             f"{name}-{next(self.counter)}",
             name,
             weight=traffic.weight,
             latency_class=traffic.latency_class,
             deadline_ms=traffic.deadline_ms,
-            prompt_tokens=int(min(20_000, draw.lognormvariate(0, 0.6) * traffic.prompt_tokens / 1.2)),
+            prompt_tokens=int(min(20_000, rng.lognormvariate(0, 0.6) * traffic.prompt_tokens / 1.2)),
             output_tokens=traffic.output_tokens,
         )
         self.waiting[acquire_request.ticket] = (acquire_request, self.now())
@@ -109,8 +109,8 @@
             self.results[acquire_request.workspace].retry_after_ms.append(reply.retry_after_ms)
             return
         server = reply.assignment.prefill_server
-        began = max(self.now(), self.busy_until[server])
-        self.busy_until[server] = began + acquire_request.prompt_tokens / 20_000
+        prefill_start = max(self.now(), self.busy_until[server])
+        self.busy_until[server] = prefill_start + acquire_request.prompt_tokens / 20_000
         self.schedule(
             self.busy_until[server],
             self.on_prefilled,
--- a/libs/arbutusrill_pool/tests/test_admission.py
+++ b/libs/arbutusrill_pool/tests/test_admission.py
@@ -23,7 +23,7 @@
     assert "predicted" in refused.message
 
 
-def test_retry_after_is_when_the_prediction_fits_again():
+def test_retry_after_is_the_time_until_the_predicted_wait_meets_the_target():
     pool = full_pool()
     pool.acquire("u", output_tokens=500)
     wait_ms = pool.acquire("v", output_tokens=500).retry_after_ms
@@ -53,7 +53,7 @@
     assert pool.acquire("v", output_tokens=500, latency_class="briefing", deadline_ms=60_000).status == "pending"
 
 
-def test_prompt_too_long_for_the_target_is_held_to_its_own_deadline():
+def test_prompt_too_long_for_the_target_is_limited_by_its_own_deadline():
     pool = small_pool()
     assert pool.acquire("t", prompt_tokens=80_000, deadline_ms=10_000).status == "assigned"  # 4 s on any server
 
@@ -74,7 +74,7 @@
         assert pool.acquire(f"v{number}", output_tokens=500, deadline_ms=60_000).status == "pending"
 
 
-def test_briefing_that_cannot_be_whole_by_its_deadline_is_refused_at_once():
+def test_briefing_that_cannot_be_complete_by_its_deadline_is_refused_at_once():
     """Its first token would be in time, but 400 tokens at 10 ms take 4 s and the deadline is 3 s."""
     pool = small_pool()
     fields = {"latency_class": "briefing", "output_tokens": 400}
--- a/libs/arbutusrill_pool/tests/test_failures.py
+++ b/libs/arbutusrill_pool/tests/test_failures.py
@@ -49,7 +49,7 @@
     assert sum(pool.assigned().values()) == 0
 
 
-def test_vm_that_never_renews_is_left_to_its_lease():
+def test_tickets_of_a_vm_that_never_renews_are_not_cancelled():
     pool = small_pool()
     pool.acquire("t")
     pool.pass_time(3.0)
@@ -70,7 +70,7 @@
     assert second.acquire("early").status == "assigned"
 
 
-def test_new_owner_gives_out_slots_only_after_reading_the_engines():
+def test_new_owner_assigns_slots_only_after_reading_the_engines():
     pool = PoolFixture(announcement("p", "prefill"), announcement("d", slots=2), epoch=2)
     engine_requests = [EngineRequest(f"r{number}", "vm9", 1) for number in range(2)]
     pool.engines.requests_by_address["http://d"] = engine_requests
@@ -89,7 +89,7 @@
     assert ("http://d", "orphan") in pool.engines.cancelled
 
 
-def test_renewal_that_arrives_after_the_release_revives_nothing():
+def test_renewal_after_the_release_does_not_register_the_ticket_again():
     pool = small_pool()
     reply = pool.acquire("t")
     pool.owner.release(release("t"))
@@ -104,7 +104,7 @@
     assert pool.assigned()[reply.assignment.prefill_server] == 0
 
 
-def fail(pool, number, server="d1", outcome="decode_failed"):
+def report_failure(pool, number, server="d1", outcome="decode_failed"):
     pool.acquire(f"f{number}", avoid=["d2", "d3", "d4"])
     pool.owner.release(release(f"f{number}", outcome, failed_server=server))
 
@@ -119,7 +119,7 @@
 
 def test_one_failed_connection_ejects_nothing():
     pool = pool_of_four_decode_servers()
-    fail(pool, 1)
+    report_failure(pool, 1)
     pool.acquire("f1")
     pool.owner.release(release("f1", "decode_failed", failed_server="d1"))
     pool.acquire("f1")
@@ -127,10 +127,10 @@
     assert health(pool)["d1"] == "ok"
 
 
-def test_repeated_failures_eject_and_the_server_returns_slowly():
+def test_repeated_failures_eject_a_server_until_its_slow_start():
     pool = pool_of_four_decode_servers()
     for number in range(3):
-        fail(pool, number)
+        report_failure(pool, number)
     assert health(pool)["d1"] == "ejected"
     pool.pass_time(1.2)
     assert health(pool)["d1"] == "slow_start"
@@ -144,7 +144,7 @@
         pool.acquire(f"s{number}", avoid=["d2", "d3", "d4"])
         pool.owner.release(release(f"s{number}", tokens=10, decode_s=0.1))
     for number in range(4):
-        fail(pool, number)
+        report_failure(pool, number)
     assert health(pool)["d1"] == "ok"
 
 
@@ -174,7 +174,7 @@
     return False
 
 
-def test_vm_that_owns_nothing_cancels_requests_of_a_dead_vm_on_the_runners_it_hears():
+def test_vm_without_pools_cancels_requests_of_a_dead_vm_on_announced_runners():
     engines = FakeEngines()
     engines.requests_by_address["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("alive", "vm3", 8)]
     directory = directory_with(engines)
@@ -188,7 +188,7 @@
         directory.close()
 
 
-def test_runner_that_turns_to_this_vm_after_a_death_is_asked_too():
+def test_requests_are_cancelled_on_a_runner_announced_after_the_vm_has_died():
     """A runner announces itself to another VM only after its timeout for the frozen one (bin/proof gone --seed 3)."""
     engines = FakeEngines()
     engines.requests_by_address["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("alive", "vm3", 8)]
--- a/libs/arbutusrill_pool/tests/test_fair_queue.py
+++ b/libs/arbutusrill_pool/tests/test_fair_queue.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(("rate", "output_tokens"), [(2.5, 150), (2.0, 400)], ids=["prefill-bound", "decode-bound"])
-def test_five_times_its_rate_moves_the_quantile_of_others_by_at_most_a_tenth(rate, output_tokens):
+def test_workspace_at_five_times_its_rate_raises_p95_of_the_others_by_at_most_a_tenth(rate, output_tokens):
     alone, _, served = others_first_token_p95(rate, output_tokens, 1, seed=1)
     crowded, refused, served_more = others_first_token_p95(rate, output_tokens, 5, seed=1)
     assert crowded <= 1.1 * alone
--- a/libs/arbutusrill_pool/tests/test_orders.py
+++ b/libs/arbutusrill_pool/tests/test_orders.py
@@ -58,7 +58,7 @@
     assert fixture.sent() == [("o1", (2 << 20) + 1)]
 
 
-def test_server_without_fencing_waits_until_no_old_order_can_be_under_way():
+def test_server_without_fencing_waits_until_no_earlier_order_can_be_running():
     fixture = RunnerFixture(epoch=2, checks_fencing=False)
     fixture.runner.reconcile([order("o1")])
     fixture.pass_time(11.0)  # lease 1.2 s + drift 0.2 s + longest order 10 s, in steps of 0.5 s
@@ -67,7 +67,7 @@
     assert len(fixture.sent()) == 1
 
 
-def test_lost_answer_is_repeated_under_the_same_number():
+def test_order_without_an_answer_is_sent_again_with_the_same_fencing_number():
     fixture = RunnerFixture()
     fixture.pool.engines.order_answers = [OrderAnswer(0, "timeout"), OrderAnswer(503), OrderAnswer(200)]
     fixture.runner.reconcile([order("o1")])
@@ -85,7 +85,7 @@
     assert fixture.reported[-1] == ("o1", "failed")
 
 
-def test_order_with_a_broken_argument_fails_without_being_sent():
+def test_order_with_an_invalid_argument_fails_without_being_sent():
     fixture = RunnerFixture()
     fixture.runner.reconcile([order("o1", argument="{")])
     fixture.pass_time(2)
@@ -93,7 +93,7 @@
     assert fixture.reported == [("o1", "failed")]
 
 
-def test_old_owner_does_not_judge_an_order():
+def test_earlier_owner_does_not_decide_the_outcome_of_an_order():
     fixture = RunnerFixture()
     fixture.pool.engines.order_answers = [OrderAnswer(409, "stale_fencing")] * 3
     fixture.runner.reconcile([order("o1")])
@@ -142,13 +142,13 @@
     fixture.pool.owner.release(release("t0"))
     fixture.pool.owner.release(release("t1"))
     assert {server for server, count in fixture.pool.assigned().items() if server.startswith("d")} == {"d1", "d2"}
-    assert not any(row.health == "drained" for row in fixture.pool.owner.status().servers)
+    assert not any(server.health == "drained" for server in fixture.pool.owner.status().servers)
 
 
-def test_new_owner_and_restarted_server_keep_to_an_earlier_drain():
+def test_drain_survives_a_change_of_owner_and_a_server_restart():
     fixture = RunnerFixture(epoch=2)
     fixture.runner.reconcile([order("o1", action="drain", state="done")])
     fixture.pool.announcements[2].incarnation += 1
     fixture.pool.announce()
     fixture.pass_time(2)
-    assert [row.announcement.id for row in fixture.pool.owner.status().servers if row.health == "drained"] == ["d1"]
+    assert [each.announcement.id for each in fixture.pool.owner.status().servers if each.health == "drained"] == ["d1"]
--- a/libs/arbutusrill_pool/tests/test_owner.py
+++ b/libs/arbutusrill_pool/tests/test_owner.py
@@ -37,7 +37,7 @@
     assert pool.assigned()[assignment.decode_server] == 1
 
 
-def test_waiting_ticket_keeps_its_place():
+def test_waiting_ticket_keeps_its_queue_position():
     pool = small_pool()
     for number in range(4):
         assert pool.acquire(f"t{number}").status == "assigned"
@@ -126,7 +126,7 @@
     assert pool.acquire("u").status == "pending"
 
 
-def test_restarted_server_begins_without_the_places_of_its_last_run():
+def test_restarted_server_begins_without_assigned_slots():
     pool = small_pool()
     for number in range(4):
         pool.acquire(f"t{number}")
@@ -139,7 +139,7 @@
     assert set(pool.assigned().values()) == {0}
 
 
-def test_owner_without_lease_gives_out_nothing():
+def test_owner_without_lease_assigns_nothing():
     pool = small_pool()
     pool.lease = False
     with pytest.raises(messages.Refused) as caught:
@@ -148,14 +148,14 @@
     assert set(pool.assigned().values()) == {0}
 
 
-def test_load_of_others_counts_against_the_slots():
+def test_untracked_requests_count_against_the_slots():
     pool = PoolFixture(announcement("p", "prefill"), announcement("d", slots=4, running=3))
     assert pool.acquire("t").status == "assigned"
     pool.owner.release(release("t", "prefilled"))
     assert pool.acquire("u").status == "pending"
 
 
-def test_late_load_report_does_not_count_finished_requests_as_foreign():
+def test_late_load_report_does_not_count_finished_requests_as_untracked():
     pool = PoolFixture(announcement("p", "prefill"), announcement("d", slots=4))
     for number in range(4):
         pool.acquire(f"t{number}")
--- a/libs/arbutusrill_pool/tests/test_policy.py
+++ b/libs/arbutusrill_pool/tests/test_policy.py
@@ -17,7 +17,7 @@
     return PoolFixture(*servers, values={"policy.name": policy})
 
 
-def test_round_robin_takes_each_server_in_turn_and_counts_no_slots():
+def test_round_robin_uses_each_server_in_turn_without_a_slot_limit():
     pool = pool_with(announcement("p", "prefill"), *(announcement(f"d{i}", slots=1) for i in range(3)))
     pool.values["policy.name"] = "round_robin"
     pool.owner.tick()
@@ -35,7 +35,7 @@
     assert {pool.acquire(f"t{number}").assignment.decode_server for number in range(5)} == {"d2"}
 
 
-def test_prefill_first_holds_no_slot_but_counts_its_prefill_queue():
+def test_prefill_first_has_no_slot_limit_but_counts_its_prefill_queue():
     pool = pool_with(
         announcement("p1", "prefill"), announcement("p2", "prefill"), announcement("d", slots=1), policy="prefill_first"
     )
@@ -69,7 +69,7 @@
     assert pool.acquire("t").assignment.prefill_server == "fast"
 
 
-def test_learnt_speed_overrides_the_announced_one():
+def test_measured_speed_overrides_the_announced_one():
     pool = pool_with(
         announcement("p1", "prefill", prefill_tokens_per_s=40_000.0), announcement("p2", "prefill"), announcement("d")
     )
@@ -101,12 +101,12 @@
     assert pool.owner.status().servers[0].cached_blocks == 3
 
 
-def test_cache_events_of_another_run_are_not_taken():
+def test_cache_events_of_another_incarnation_are_rejected():
     pool = pool_with(announcement("p1", "prefill", incarnation=2), announcement("d"))
     assert not pool.owner.cache_events(events("p1", 0, ["a"]))
 
 
-def test_own_data_centre_first_and_the_others_when_it_is_full():
+def test_same_data_centre_is_preferred_until_it_is_full():
     pool = pool_with(
         announcement("p1", "prefill"),
         announcement("near", slots=2),
@@ -163,7 +163,7 @@
     assert replies[0].assignment.prefill_server == ""
 
 
-def test_server_once_learnt_as_slow_is_tried_again():
+def test_server_once_measured_as_slow_is_tried_again():
     pool = pool_with(announcement("p1", "prefill"), announcement("p2", "prefill"), announcement("d"))
     slow = pool.acquire("t").assignment.prefill_server
     for number in range(12):
