--- a/libs/arbutusrill_gateway/_backends.py
+++ b/libs/arbutusrill_gateway/_backends.py
@@ -21,11 +21,11 @@
 _MIN_AVOID_S = 0.3
 _MAX_AVOID_S = 5.0
 _DEFAULT_S_PER_TOKEN = 0.00005
-_DEFAULT_SERVICE_S = 0.03
+_DEFAULT_S_PER_REQUEST = 0.03
 _CROSS_DATA_CENTRE_PENALTY_S = 0.004  # for a plain request
 _CROSS_DATA_CENTRE_KV_PENALTY_S = 0.06  # for a transfer of a KV cache
 _FAILURE_PENALTY_S = 0.6  # expected cost of a failed request
-_DECODE_STEP_S = 0.02  # expected slowdown per concurrent request on a decode engine
+_DECODE_STEP_S = 0.02  # expected duration on a decode engine, for each concurrent request
 _JITTER_FRACTION = 0.05
 _AVOID_FAILURE_RATE = 0.4  # engines with a higher failure rate are avoided
 _USABLE_MEMORY_FRACTION = 0.92  # fraction of an engine's KV cache memory that may be allocated
@@ -56,9 +56,9 @@
 
     started_ms: int
     unit_s: float | None = None  # seconds per token on an engine, per request on a plain backend server
-    failure_rate: float = 0.0
+    failure_rate: float = 0.0  # moving average between 0 and 1
     updated_at: float = 0.0
-    failures: int = 0  # in succession
+    failures: int = 0  # consecutive
     avoid_until: float = float("-inf")
 
 
@@ -122,18 +122,18 @@
             usable = [record for record in listed if _serves(record, stage, model) and record.id not in exclude]
             mean_s = self._mean_unit_s(listed, stage)
             for record in usable:
-                expected = self._expected_s(record, service, stage, tokens, mean_s, now)
+                expected_s = self._expected_s(record, service, stage, tokens, mean_s, now)
                 stats = self._stats_of(record)
                 avoided = stats.avoid_until > now
                 fits = not stage or stage == "prefill" or self._fits(record, service, tokens)
-                cost = expected * random.uniform(1, 1 + _JITTER_FRACTION) + self._penalty_s(
+                cost = expected_s * random.uniform(1, 1 + _JITTER_FRACTION) + self._penalty_s(
                     record, stage, kv_data_centre, stats, now
                 )
-                ranked.append(((avoided, not fits, cost), record, expected))
+                ranked.append(((avoided, not fits, cost), record, expected_s))
         if not ranked:
             return None
-        _, record, expected = min(ranked, key=lambda row: row[0])
-        return Candidate(record, expected)
+        _, record, expected_s = min(ranked, key=lambda entry: entry[0])
+        return Candidate(record, expected_s)
 
     def wait_for_backends(self, service: Service, timeout_s: float) -> bool:
         """Returns whether `service` has a backend server; waits for one while the list is still incomplete.
@@ -142,11 +142,11 @@
         """
         view = self._view
 
-        def known() -> bool:
+        def has_backend() -> bool:
             return any(record.service_name == service.name for record in view.backends_by_id.values())
 
-        view.wait_for(lambda: view.backends_complete or known(), timeout_s)
-        return known()
+        view.wait_for(lambda: view.backends_complete or has_backend(), timeout_s)
+        return has_backend()
 
     def avoided_ids(self) -> list[str]:
         """Returns the ids of backend servers that are avoided after a recent failure or for their failure rate."""
@@ -196,21 +196,21 @@
         return unit_s * (1 + waiting / max(1, record.slots) + 0.1 * self._request_count(record.id))
 
     def _penalty_s(self, record: Any, stage: str, kv_data_centre: str, stats: _BackendStats, now: float) -> float:
-        home = kv_data_centre or self._data_centre
+        preferred = kv_data_centre or self._data_centre
         cross_penalty_s = _CROSS_DATA_CENTRE_KV_PENALTY_S if stage else _CROSS_DATA_CENTRE_PENALTY_S
         return self._failure_rate(stats, now) * _FAILURE_PENALTY_S + (
-            0.0 if record.data_centre == home else cross_penalty_s
+            0.0 if record.data_centre == preferred else cross_penalty_s
         )
 
     def _mean_unit_s(self, records: list[Any], stage: str) -> float:
-        known = [
+        measured = [
             stats.unit_s
             for record in records
             if record.stage == stage and (stats := self._stats_by_id.get(record.id)) and stats.unit_s
         ]
-        if known:
-            return sum(known) / len(known)
-        return _DEFAULT_S_PER_TOKEN if stage else _DEFAULT_SERVICE_S
+        if measured:
+            return sum(measured) / len(measured)
+        return _DEFAULT_S_PER_TOKEN if stage else _DEFAULT_S_PER_REQUEST
 
     def _stats_of(self, record: Any) -> _BackendStats:
         stats = self._stats_by_id.get(record.id)
@@ -240,18 +240,19 @@
             stats.updated_at = now
             stats.failures += 1
             if avoid:
-                pause_s = min(_MAX_AVOID_S, _MIN_AVOID_S * 2 ** min(stats.failures - 1, 6))
-                stats.avoid_until = now + pause_s
+                avoid_s = min(_MAX_AVOID_S, _MIN_AVOID_S * 2 ** min(stats.failures - 1, 6))
+                stats.avoid_until = now + avoid_s
         _events.emit("backend_failed", backend=record.id, address=record.address, reason=reason, avoided=avoid)
 
     def prune(self) -> None:
         """Drops the observations of backend servers that are no longer listed."""
         with self._lock:
-            for backend in [known for known in self._stats_by_id if known not in self._view.backends_by_id]:
+            for backend in [id_ for id_ in self._stats_by_id if id_ not in self._view.backends_by_id]:
                 del self._stats_by_id[backend]
 
 
 def _serves(record: Any, stage: str, model: str) -> bool:
+    """Returns whether a server accepts requests of a stage and model; one that lists no models accepts all models."""
     if record.draining or (stage and (record.stage != stage or record.ordered_stage)):
         return False
     return not (model and record.models) or any(loaded.name == model for loaded in record.models)
--- a/libs/arbutusrill_gateway/_placement.py
+++ b/libs/arbutusrill_gateway/_placement.py
@@ -50,8 +50,9 @@
     """Requirements for a placement.
 
     `objective_remaining_s` is the time until the request exceeds its latency objective; the leader ignores it if it
-    already knows the request from an earlier try. `avoided_ids` are the engines not to use. `continued` is true if the
-    request had a placement before. `event_gap_s` is the longest gap between events that the caller accepts.
+    already knows the request from an earlier try. `needs_prefill` is true if the prompt is still to be processed, which
+    it is not if the request is resumed. `avoided_ids` are the engines not to use. `continued` is true if the request
+    had a placement before. `event_gap_s` is the longest gap between events that the caller accepts.
     """
 
     service: Service
@@ -99,19 +100,19 @@
                 for number, placement in self._placement_by_number.items()
             ]
 
-    def acquire(self, wanted: PlacementRequest, max_wait_s: float) -> tuple[Placement | None, float | None]:
+    def acquire(self, requirements: PlacementRequest, max_wait_s: float) -> tuple[Placement | None, float | None]:
         """Requests a placement and waits for it up to `max_wait_s` seconds.
 
         Returns the placement and None, or None and the seconds after which a retry is likely to succeed. Both are None
         if the leader is unavailable or granted an engine that is not yet in this VM's view. Raises
         `ConnectionResetError` if the caller disconnects while waiting.
         """
-        request = wanted.request
+        request = requirements.request
         started = self._clock.monotonic()
         deadline = started + max_wait_s
         poll_s = _FIRST_POLL_S
         while (now := self._clock.monotonic()) >= self._leader_unavailable_until:
-            message = self._wire_request(wanted, now - started, min(poll_s, deadline - now), deadline - now)
+            message = self._wire_request(requirements, now - started, min(poll_s, deadline - now), deadline - now)
             try:
                 reply = self._client.call(
                     "place", message, timeout=poll_s + _CALL_MARGIN_S, try_timeout=poll_s + _CALL_MARGIN_S
@@ -121,7 +122,7 @@
                 _events.emit("places_unavailable", request=request.id, reason=str(error))
                 break
             if reply.place:
-                return self._accept_reply(reply, wanted), None
+                return self._accept_reply(reply, requirements), None
             if reply.refused or self._clock.monotonic() >= deadline:
                 return None, max(MIN_RETRY_AFTER_S, reply.wait_ms / 1000)
             if request.connection is not None and caller_gone(request.connection):
@@ -129,25 +130,25 @@
             poll_s = _POLL_S
         return None, None
 
-    def _wire_request(self, wanted: PlacementRequest, waited_s: float, poll_s: float, max_wait_s: float) -> Any:
-        request = wanted.request
+    def _wire_request(self, requirements: PlacementRequest, waited_s: float, poll_s: float, max_wait_s: float) -> Any:
+        request = requirements.request
         return messages.PlaceRequest(
             self._vm,
             self._incarnation,
             request.id,
-            wanted.service.name,
+            requirements.service.name,
             request.model,
             request.prompt_tokens or 0,
             request.memory_tokens,
             max(0, int(poll_s * 1000)),
-            max(0, int((wanted.objective_remaining_s - waited_s) * 1000)),
-            wanted.needs_prefill,
-            wanted.avoided_ids,
+            max(0, int((requirements.objective_remaining_s - waited_s) * 1000)),
+            requirements.needs_prefill,
+            requirements.avoided_ids,
             max(0, int(max_wait_s * 1000)),
             request.content_hash(),
             self._pop_prefill_speeds(),
-            wanted.continued,
-            int(wanted.event_gap_s * 1000),
+            requirements.continued,
+            int(requirements.event_gap_s * 1000),
         )
 
     def record_prefill_speed(self, backend: str, took_s: float, tokens: int) -> None:
@@ -163,13 +164,15 @@
             speeds, self._unreported_prefill_speeds = self._unreported_prefill_speeds, []
             return speeds
 
-    def _accept_reply(self, reply: Any, wanted: PlacementRequest) -> Placement | None:
+    def _accept_reply(self, reply: Any, requirements: PlacementRequest) -> Placement | None:
         backends = self._view.backends_by_id
         decode = backends.get(reply.decode)
         if decode is None:  # the engine is not yet in this VM's view, which lags behind the leader
             self._send_free(reply.place, [], [])
             return None
-        return self._record(reply.place, decode, backends.get(reply.prefill), wanted.request, wanted.event_gap_s)
+        return self._record(
+            reply.place, decode, backends.get(reply.prefill), requirements.request, requirements.event_gap_s
+        )
 
     def record_local(self, decode: Any, request: CallerRequest, event_gap_s: float) -> Placement:
         """Records a placement that this VM chose without the leader, which learns of it from the next report."""
@@ -197,8 +200,8 @@
             self._send_free(_NO_PLACEMENT, [], [backend])
 
     def _send_free(self, number: int, speeds: list[Any], unresponsive: list[str]) -> None:
-        freed = messages.FreePlace(self._vm, self._incarnation, number, speeds, unresponsive)
+        message = messages.FreePlace(self._vm, self._incarnation, number, speeds, unresponsive)
         try:
-            self._client.call("free_place", freed, timeout=_FREE_TIMEOUT_S, try_timeout=_FREE_TIMEOUT_S)
+            self._client.call("free_place", message, timeout=_FREE_TIMEOUT_S, try_timeout=_FREE_TIMEOUT_S)
         except (ControlUnavailableError, messages.Refused) as error:
             _events.emit("place_not_freed", place=number, reason=str(error))
