--- a/libs/arbutusrill_base/_budget.py
+++ b/libs/arbutusrill_base/_budget.py
@@ -12,11 +12,11 @@
     """Token bucket that limits retries to a fraction of the requests; it starts full, with `reserve` retries.
 
     >>> budget = RetryBudget(fraction=0.1, reserve=1)
-    >>> budget.take(), budget.take()
+    >>> budget.try_acquire(), budget.try_acquire()
     (True, False)
     >>> for _ in range(10):
-    ...     budget.request()
-    >>> budget.take()
+    ...     budget.record_request()
+    >>> budget.try_acquire()
     True
     """
 
@@ -26,7 +26,7 @@
         self._reserve = reserve
         self._tokens = reserve
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Counts a first attempt, which adds `fraction` of a retry to the budget."""
         with self._lock:
             self._tokens = min(self._reserve, self._tokens + self._fraction)
@@ -42,7 +42,7 @@
             self._reserve = reserve
             self._tokens = min(self._tokens, reserve)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes one retry from the budget; returns False if less than one is left."""
         with self._lock:
             if self._tokens < 1 - 1e-9:
--- a/libs/arbutusrill_base/_tasks.py
+++ b/libs/arbutusrill_base/_tasks.py
@@ -45,7 +45,7 @@
             self._free_threads.release()
             return None
 
-    def every(self, period: float, function: Callable[[], Any]) -> None:
+    def run_periodically(self, period: float, function: Callable[[], Any]) -> None:
         """Calls `function` every `period` seconds until the group stops; its exceptions are logged.
 
         The calls occupy one thread of the group. Raises `RuntimeError` if none is free.
--- a/libs/arbutusrill_base/_verdict.py
+++ b/libs/arbutusrill_base/_verdict.py
@@ -19,10 +19,10 @@
     MAY_HAVE_RUN = "may_have_run"
     RAN = "ran"
 
-    def worst(self, other: Verdict) -> Verdict:
+    def combine(self, other: Verdict) -> Verdict:
         """Combines the verdicts of two attempts of one request: `RAN` over `MAY_HAVE_RUN` over `NOT_RUN`.
 
-        >>> Verdict.NOT_RUN.worst(Verdict.MAY_HAVE_RUN)
+        >>> Verdict.NOT_RUN.combine(Verdict.MAY_HAVE_RUN)
         <Verdict.MAY_HAVE_RUN: 'may_have_run'>
         """
         order = (Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN, Verdict.RAN)
--- a/libs/arbutusrill_base/tests/test_budget.py
+++ b/libs/arbutusrill_base/tests/test_budget.py
@@ -6,14 +6,14 @@
 def test_smaller_reserve_discards_saved_retries():
     budget = RetryBudget(fraction=0.1, reserve=8)
     budget.set_reserve(1)
-    assert [budget.take(), budget.take()] == [True, False]
+    assert [budget.try_acquire(), budget.try_acquire()] == [True, False]
 
 
 def test_larger_reserve_is_filled_only_by_requests():
     budget = RetryBudget(fraction=0.5, reserve=1)
-    budget.take()
+    budget.try_acquire()
     budget.set_reserve(8)
-    assert not budget.take()
+    assert not budget.try_acquire()
     for _ in range(4):
-        budget.request()
-    assert [budget.take(), budget.take(), budget.take()] == [True, True, False]
+        budget.record_request()
+    assert [budget.try_acquire(), budget.try_acquire(), budget.try_acquire()] == [True, True, False]
--- a/libs/arbutusrill_daemon/_roles.py
+++ b/libs/arbutusrill_daemon/_roles.py
@@ -74,7 +74,7 @@
             ),
             HttpServer(*split_address(role.http), operator_app),
         ):
-            tasks.every(_CONTROL_TICK_INTERVAL_S, service.tick)
+            tasks.run_periodically(_CONTROL_TICK_INTERVAL_S, service.tick)
             yield
 
 
@@ -114,8 +114,8 @@
             follower.start(tasks)
             context.limits.start(tasks)
             context.journal.start(tasks)
-            tasks.every(_POOL_TICK_INTERVAL_S, directory.tick)
-            tasks.every(REPORT_S, lambda: report_burn(context))
+            tasks.run_periodically(_POOL_TICK_INTERVAL_S, directory.tick)
+            tasks.run_periodically(REPORT_S, lambda: report_burn(context))
             yield
             Drain(context, application, server, force_stop).run(role.drain_limit_s)
         context.limits.drain(clock.monotonic() + _TOKEN_RETURN_TIMEOUT_S)
--- a/libs/arbutusrill_entry/_context.py
+++ b/libs/arbutusrill_entry/_context.py
@@ -37,4 +37,4 @@
         The setting ``retry.budget`` limits retries to a fraction of the requests.
         """
         self.retry_budget.set_fraction(self.follower.config.value("retry.budget"))
-        return self.retry_budget.take()
+        return self.retry_budget.try_acquire()
--- a/libs/arbutusrill_entry/_held_tickets.py
+++ b/libs/arbutusrill_entry/_held_tickets.py
@@ -35,7 +35,7 @@
         self._tasks = TaskGroup("renewals", _MAX_PARALLEL_OWNERS)
 
     def __enter__(self) -> HeldTickets:
-        self._tasks.every(RENEW_INTERVAL_S, self.renew)
+        self._tasks.run_periodically(RENEW_INTERVAL_S, self.renew)
         return self
 
     def __exit__(self, *_: object) -> None:
--- a/libs/arbutusrill_entry/_relay.py
+++ b/libs/arbutusrill_entry/_relay.py
@@ -88,7 +88,7 @@
     def run(self, on_tokens: Callable[[list[str]], None]) -> RelayResult:
         """Runs prefill and decode; raises `FailureError`, or `AbortStreamError` if the caller has disconnected."""
         self._on_tokens = on_tokens
-        self._context.retry_budget.request()
+        self._context.retry_budget.record_request()
         for attempt in range(1, _MAX_ATTEMPTS + 1):
             try:
                 self._run_attempt()
@@ -116,7 +116,7 @@
             self._reservation.reassign(attempt_error.outcome, attempt_error.failed_server)
         except FailureError as error:
             failure = error.failure
-            verdict = attempt_error.failure.verdict.worst(failure.verdict)
+            verdict = attempt_error.failure.verdict.combine(failure.verdict)
             message = f"{attempt_error.failure.message}; {failure.message}"
             raise FailureError(Failure(failure.code, message, verdict, failure.status, failure.retry_after)) from None
 
--- a/libs/arbutusrill_entry/_services.py
+++ b/libs/arbutusrill_entry/_services.py
@@ -116,7 +116,7 @@
         if self._context.pools.find_pool(self._name) is None:
             raise FailureError(Failure("no_server", f"no server of {self._name!r} is known", retry_after=1.0))
         if self._repeatable:
-            self._context.retry_budget.request()
+            self._context.retry_budget.record_request()
         with ServerReservation(self._context, self.requirements, self._caller, self._guard) as reservation:
             for attempt in range(1, _MAX_ATTEMPTS + 1):
                 answer, result = self._send(reservation, attempt)
@@ -159,9 +159,9 @@
         if self._journaled is not None:
             self._journaled.check_send(self.requirements.deadline)
         before = self.verdict
-        self.verdict = before.worst(Verdict.MAY_HAVE_RUN)
+        self.verdict = before.combine(Verdict.MAY_HAVE_RUN)
         result = fetch(transfer)
-        self.verdict = before.worst(result.verdict)
+        self.verdict = before.combine(result.verdict)
         if result.error == "gone":
             raise AbortStreamError
         if result.error == "stopped":
@@ -209,7 +209,7 @@
             raise FailureError(failure)
 
     def _add_verdict(self, failure: Failure) -> FailureError:
-        verdict = self.verdict.worst(failure.verdict)
+        verdict = self.verdict.combine(failure.verdict)
         return FailureError(Failure(failure.code, failure.message, verdict, failure.status, failure.retry_after))
 
 
--- a/libs/arbutusrill_entry/tests/test_relay.py
+++ b/libs/arbutusrill_entry/tests/test_relay.py
@@ -105,7 +105,7 @@
 
 
 def test_no_retry_without_budget(rig):
-    while rig.retry_budget.take():
+    while rig.retry_budget.try_acquire():
         pass
     rig.engine().crash_at = 5
     assert_aborted(rig.chat(stream=True), "decode_failed")
--- a/libs/arbutusrill_entry/tests/test_services.py
+++ b/libs/arbutusrill_entry/tests/test_services.py
@@ -177,7 +177,7 @@
 
 
 def test_repeatable_call_without_budget_says_may_have_run(rig, service, dropping):
-    while rig.retry_budget.take():
+    while rig.retry_budget.try_acquire():
         pass
     answer = rig.call("GET", "/services/seats/stops")
     assert (answer[0], error_of(answer)["verdict"]) == (502, "may_have_run")
--- a/libs/arbutusrill_gateway/_exchange.py
+++ b/libs/arbutusrill_gateway/_exchange.py
@@ -26,8 +26,8 @@
     """One caller's request with its route, its workspace and the results of its attempts so far.
 
     `deadline` and `started` are on the monotonic clock. `attempt_count` is the number of attempts that count towards
-    the route's maximum; prefills and connection failures that are retried at once do not. `verdict` is the worst
-    verdict of all attempts, `tried` holds the ids of backend servers to exclude, and `trail` lists every attempt for
+    the route's maximum; prefills and connection failures that are retried at once do not. `verdict` combines the
+    verdicts of all attempts, `tried` holds the ids of backend servers to exclude, and `trail` lists every attempt for
     the request log.
     """
 
@@ -67,7 +67,7 @@
 
     def record_attempt(self, candidate: Candidate, step: str, result: AttemptResult) -> None:
         """Records the result of an attempt that may have run the request."""
-        self.verdict = self.verdict.worst(result.outcome.verdict)
+        self.verdict = self.verdict.combine(result.outcome.verdict)
         self.record_prefill_attempt(candidate, result, step)
 
     def record_prefill_attempt(self, candidate: Candidate, result: AttemptResult, step: str = "prefill") -> None:
@@ -87,7 +87,7 @@
 
     def acquire_retry(self) -> bool:
         """Takes one retry from the retry budget; returns whether the route, the time and the budget allow it."""
-        return self.attempt_count < self.route.max_attempts and self.has_time() and self.budget.take()
+        return self.attempt_count < self.route.max_attempts and self.has_time() and self.budget.try_acquire()
 
     def refuse_not_run(self, code: str, message: str, retry_after: float) -> None:
         """Refuses with 503 (not run), or as uncertain if an earlier attempt may have run the request."""
--- a/libs/arbutusrill_gateway/_gateway.py
+++ b/libs/arbutusrill_gateway/_gateway.py
@@ -155,7 +155,7 @@
         service = configuration.services_by_name[route.pick_service()]
         limit_s = _time_limit_s(route, request)
         budget = self._retry_budget(service.name)
-        budget.request()
+        budget.record_request()
         exchange = Exchange(
             request,
             responder,
--- a/libs/arbutusrill_gateway/_prefill.py
+++ b/libs/arbutusrill_gateway/_prefill.py
@@ -55,7 +55,7 @@
         if placement is not None and result.outcome in (Outcome.UNREACHED, Outcome.TIMEOUT):
             exchange.placements.report_unresponsive(candidate.id)
         if result.outcome is not Outcome.UNREACHED:
-            if not exchange.budget.take():
+            if not exchange.budget.try_acquire():
                 raise RetryBudgetExhaustedError
             return None
         excluded.add(candidate.id)
--- a/libs/arbutusrill_gateway/_stream.py
+++ b/libs/arbutusrill_gateway/_stream.py
@@ -216,7 +216,7 @@
             return None
         if self._kv_cache is not None and time.monotonic() - self._prefilled_at < engine.handle_s:
             return self._kv_cache
-        if self._prefill_count and not exchange.budget.take():
+        if self._prefill_count and not exchange.budget.try_acquire():
             return None
         self._prefill_count += 1
         self._kv_cache = run_prefill(exchange, placement)
@@ -287,7 +287,7 @@
             result.outcome, result.detail = Outcome.BROKEN, "a success without an event"
         return result
     except _CallerLeftError:
-        exchange.verdict = exchange.verdict.worst(Verdict.MAY_HAVE_RUN)
+        exchange.verdict = exchange.verdict.combine(Verdict.MAY_HAVE_RUN)
         raise exchange.caller_gone_error() from None
 
 
--- a/libs/arbutusrill_standins/_engine.py
+++ b/libs/arbutusrill_standins/_engine.py
@@ -70,8 +70,8 @@
 
     def start(self, tasks: TaskGroup) -> None:
         """Starts the periodic removal of expired KV cache entries and streams."""
-        tasks.every(_SWEEP_INTERVAL_S, self._kv_store.sweep)
-        tasks.every(_SWEEP_INTERVAL_S, self._streams.sweep)
+        tasks.run_periodically(_SWEEP_INTERVAL_S, self._kv_store.sweep)
+        tasks.run_periodically(_SWEEP_INTERVAL_S, self._streams.sweep)
 
     def load(self) -> tuple[int, int]:
         """Returns the current numbers of running and queued requests."""
--- a/libs/arbutusrill_standins/engine.py
+++ b/libs/arbutusrill_standins/engine.py
@@ -46,7 +46,7 @@
     with HttpServer(*split_address(listen), engine, _HTTP_LIMITS) as server, TaskGroup("engine", 4) as tasks:
         engine.own_address = f"http://{server.address}"
         engine.start(tasks)
-        tasks.every(_SAMPLE_INTERVAL_S, report.sample)
+        tasks.run_periodically(_SAMPLE_INTERVAL_S, report.sample)
         cache = engine.cache
         with (
             Announcer(entries, token, describe),
