--- a/libs/arbutusrill_bench/_load.py
+++ b/libs/arbutusrill_bench/_load.py
@@ -141,8 +141,8 @@
         """Periodically fetches the list of entry VMs, as clients are expected to do."""
         while True:
             for entry in list(self._entries):
-                result = fetch(Transfer("GET", f"http://{entry}/v1/entries", timeout_s=1.0, fresh=True))
-                if result.whole and result.status == 200:
+                result = fetch(Transfer("GET", f"http://{entry}/v1/entries", timeout_s=1.0, new_connection=True))
+                if result.is_complete and result.status == 200:
                     rows = json.loads(result.body)["entries"]
                     self._entries = [row["address"] for row in rows] or self._entries
                     break
@@ -214,33 +214,33 @@
             self._headers(request),
             json.dumps(body).encode(),
             _STREAM_TIMEOUT_S,
-            fresh=True,
+            new_connection=True,
             on_head=on_head,
             on_data=on_data,
             should_stop=should_leave,
         )
         result = self._fetch_from_entry(request, transfer, "/v1/completions")
         self._record_response(result, b"".join(error_chunks), outcome)
-        outcome.whole = result.whole and stream.ended and outcome.tokens == request.output_tokens
+        outcome.whole = result.is_complete and stream.ended and outcome.tokens == request.output_tokens
 
     def _send_plain_call(self, request: PlannedRequest, outcome: Outcome, due: float) -> None:
         headers = self._headers(request)
         if request.kind == "booking":
             headers.append(f"Idempotency-Key: {request.mark}")
             body = json.dumps({"seat": request.number}).encode()
-            transfer = Transfer("POST", "", headers, body, _PLAIN_CALL_TIMEOUT_S, fresh=True)
+            transfer = Transfer("POST", "", headers, body, _PLAIN_CALL_TIMEOUT_S, new_connection=True)
             result = self._fetch_from_entry(request, transfer, f"/services/{self._job.service}/bookings")
         else:
-            transfer = Transfer("GET", "", headers, b"", _PLAIN_CALL_TIMEOUT_S, fresh=True)
+            transfer = Transfer("GET", "", headers, b"", _PLAIN_CALL_TIMEOUT_S, new_connection=True)
             result = self._fetch_from_entry(request, transfer, f"/services/{self._job.service}/stops/{request.number}")
         self._record_response(result, result.body, outcome)
-        outcome.whole = result.whole and result.status in (200, 201)
+        outcome.whole = result.is_complete and result.status in (200, 201)
         outcome.first_s = time.monotonic() - due
 
     def _record_response(self, result: TransferResult, body: bytes, outcome: Outcome) -> None:
         outcome.status, outcome.error = result.status, result.error
         outcome.retry_after_s = float(result.headers_by_name.get("retry-after", -1))
-        if result.status >= 400 and result.whole:
+        if result.status >= 400 and result.is_complete:
             outcome.code = (json.loads(body).get("error") or {}).get("code", "")
 
 
--- a/libs/arbutusrill_bench/_runs.py
+++ b/libs/arbutusrill_bench/_runs.py
@@ -183,8 +183,8 @@
         body = json.dumps({"model": MODEL, "prompt": "warm up", "max_tokens": 2}).encode()
         for entry in self._site.of_kind("entry"):
             url = f"http://{entry.address}/v1/completions"
-            result = fetch(Transfer("POST", url, headers, body, timeout_s=5.0, fresh=True))
-            if not result.whole or result.status != 200:
+            result = fetch(Transfer("POST", url, headers, body, timeout_s=5.0, new_connection=True))
+            if not result.is_complete or result.status != 200:
                 return False
         return True
 
@@ -253,7 +253,7 @@
 
     def _fetch_counters(self, address: str) -> dict[str, Any] | None:
         result = fetch(Transfer("GET", f"http://{address}/stand-in/counters", timeout_s=2.0))
-        return json.loads(result.body) if result.whole and result.status == 200 else None
+        return json.loads(result.body) if result.is_complete and result.status == 200 else None
 
     def _update_engine_counters(self) -> None:
         """Stores the latest counters of each running engine, so that those of a killed engine remain available."""
--- a/libs/arbutusrill_bench/_site.py
+++ b/libs/arbutusrill_bench/_site.py
@@ -231,7 +231,7 @@
 
 def _returns_200(url: str) -> bool:
     result = fetch(Transfer("GET", url, timeout_s=1.0))
-    return result.whole and result.status == 200
+    return result.is_complete and result.status == 200
 
 
 def _sha256(text: str) -> str:
--- a/libs/arbutusrill_bench/demo.py
+++ b/libs/arbutusrill_bench/demo.py
@@ -27,7 +27,7 @@
 
 
 def _expect(result: TransferResult, status: int, what: str) -> TransferResult:
-    if not result.whole or result.status != status:
+    if not result.is_complete or result.status != status:
         raise SiteError(f"{what}: expected status {status}, got {result.status} {result.detail} {result.body[:300]!r}")
     return result
 
--- a/libs/arbutusrill_bench/proof_drain.py
+++ b/libs/arbutusrill_bench/proof_drain.py
@@ -90,7 +90,7 @@
         for address in rng.sample(candidates, len(candidates)):
             requested_at = time.monotonic()
             result = fetch(Transfer("GET", f"http://{address}/v1/entries", timeout_s=2.0))
-            if result.whole and result.status == 200:
+            if result.is_complete and result.status == 200:
                 rows = json.loads(result.body)["entries"]
                 age = int(result.headers_by_name["cache-control"].partition("=")[2])
                 if rows:
@@ -102,7 +102,7 @@
         body = {"model": _MODEL_NAME, "stream": True, "max_tokens": 100, "prompt": "Summarise the route. " * 20}
         result = self._send(address, "/v1/completions", body, on_data=chunks.append)
         text = b"".join(chunks)
-        if result.whole and text.endswith(b"data: [DONE]\n\n"):
+        if result.is_complete and text.endswith(b"data: [DONE]\n\n"):
             self._count_served("stream")
         else:
             self._add_problem(f"stream through {address}: status {result.status} {result.detail} {text[-200:]!r}")
@@ -110,7 +110,7 @@
     def _check_booking(self, address: str, booking: str) -> None:
         body = {"seat": booking}
         result = self._send(address, f"/services/{_SERVICE_NAME}/bookings", body, (f"Idempotency-Key: {booking}",))
-        if result.whole and result.status == 201:
+        if result.is_complete and result.status == 201:
             self._count_served("booking")
         else:
             self._add_problem(
@@ -122,7 +122,9 @@
     ) -> TransferResult:
         headers = [f"Authorization: Bearer {self._key}", "Content-Type: application/json", *extra_headers]
         url = f"http://{address}{path}"
-        return fetch(Transfer("POST", url, headers, json.dumps(body).encode(), timeout_s=20, fresh=True, **options))
+        return fetch(
+            Transfer("POST", url, headers, json.dumps(body).encode(), timeout_s=20, new_connection=True, **options)
+        )
 
     def _count_served(self, kind: str) -> None:
         with self._lock:
--- a/libs/arbutusrill_bench/proof_limit.py
+++ b/libs/arbutusrill_bench/proof_limit.py
@@ -63,8 +63,8 @@
             url = f"http://{entry.address}/services/{_SERVICE_NAME}/stops/1"
             result = fetch(Transfer("GET", url, self._headers, timeout_s=_CALL_TIMEOUT_S))
             with self._lock:
-                self.statuses[result.status if result.whole else 0] += 1
-                if result.whole and result.status == 200:
+                self.statuses[result.status if result.is_complete else 0] += 1
+                if result.is_complete and result.status == 200:
                     self._admitted.append((sent, time.monotonic()))
             time.sleep(0.01)
 
--- a/libs/arbutusrill_bench/relay_speed.py
+++ b/libs/arbutusrill_bench/relay_speed.py
@@ -58,7 +58,9 @@
     site.wait_for_pool(_MODEL)
     for engine in (prefill, *decodes):
         url = f"http://{engine.address}/engine/requests"
-        site.wait_until(lambda url=url: fetch(Transfer("GET", url, timeout_s=1.0)).whole, f"{engine.name} answers")
+        site.wait_until(
+            lambda url=url: fetch(Transfer("GET", url, timeout_s=1.0)).is_complete, f"{engine.name} answers"
+        )
     entry = site.of_kind("entry")[0].address
     direct = Target(prefill=prefill.address, decodes=tuple(decode.address for decode in decodes))
     via_entry = Target(entry=entry, key=issued["key"])
--- a/libs/arbutusrill_bench/tests/test_rate.py
+++ b/libs/arbutusrill_bench/tests/test_rate.py
@@ -31,7 +31,7 @@
 def status(site, entry, workspace, deadline_ms=1500):
     headers = [f"Authorization: Bearer {site.keys[workspace]}", f"X-Deadline-Ms: {deadline_ms}"]
     result = fetch(Transfer("GET", f"http://{entry.address}/services/seats/stops/1", headers, timeout_s=10.0))
-    return result.status if result.whole else 0
+    return result.status if result.is_complete else 0
 
 
 def wait_for_service(site):
--- a/libs/arbutusrill_bench/tests/test_site.py
+++ b/libs/arbutusrill_bench/tests/test_site.py
@@ -16,8 +16,8 @@
 
 
 def responds(member):
-    result = fetch(Transfer("GET", f"http://{member.address}/healthz", timeout_s=1.0, fresh=True))
-    return result.whole and result.status == 200
+    result = fetch(Transfer("GET", f"http://{member.address}/healthz", timeout_s=1.0, new_connection=True))
+    return result.is_complete and result.status == 200
 
 
 def test_suspended_member_does_not_respond_until_resumed(site):
--- a/libs/arbutusrill_daemon/_roles.py
+++ b/libs/arbutusrill_daemon/_roles.py
@@ -165,4 +165,4 @@
     meters.gauge("arbutusrill_config_revision", "Revision of the applied configuration.", lambda: config.revision)
     meters.gauge("arbutusrill_held_tickets", "Places held on backend servers.", lambda: len(context.held))
     meters.gauge("arbutusrill_cleanup_jobs", "Cancellations and releases not yet confirmed.", context.cleanup.pending)
-    meters.gauge("arbutusrill_busy_connections", "Connections with a request under way.", server.busy)
+    meters.gauge("arbutusrill_busy_connections", "Connections with a request under way.", server.active_connections)
--- a/libs/arbutusrill_entry/_drain.py
+++ b/libs/arbutusrill_entry/_drain.py
@@ -40,7 +40,7 @@
         follower = self._context.follower
         self._app.draining = True
         follower.drain()
-        _log.info("draining VM %s, %d requests in progress", follower.identity.vm, self._server.busy())
+        _log.info("draining VM %s, %d requests in progress", follower.identity.vm, self._server.active_connections())
         confirmed = self._wait(self._is_drain_confirmed, min(deadline, time.monotonic() + _CONFIRM_TIMEOUT_S))
         if not confirmed and not self._skip_waits.is_set():
             _log.warning("draining state not confirmed by the control group in time")
@@ -52,9 +52,9 @@
         margin_s = float(follower.config.value("entries.max_age_s")) + _ENTRIES_MARGIN_S
         self._wait(lambda: False, min(deadline, time.monotonic() + margin_s))
         self._server.stop_listening()
-        if not self._wait(lambda: not self._server.busy(), deadline):
+        if not self._wait(lambda: not self._server.active_connections(), deadline):
             reason = "a second signal" if self._skip_waits.is_set() else f"the limit of {limit_s:g} s"
-            _log.warning("drain ended early by %s, %d requests aborted", reason, self._server.cut())
+            _log.warning("drain ended early by %s, %d requests aborted", reason, self._server.abort_connections())
 
     def _is_drain_confirmed(self) -> bool:
         identity = self._context.follower.identity
--- a/libs/arbutusrill_entry/_reservation.py
+++ b/libs/arbutusrill_entry/_reservation.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from arbutusrill_base import Failure, FailureError, Verdict
-from arbutusrill_http import AbortStreamError, Transfer, caller_gone, fetch
+from arbutusrill_http import AbortStreamError, Transfer, fetch, peer_closed
 from arbutusrill_wire import RpcError, messages
 
 from ._context import EntryContext
@@ -34,7 +34,7 @@
     """
 
     def check() -> bool:
-        if caller_gone(caller):
+        if peer_closed(caller):
             raise AbortStreamError
         failure = guard.check_key(Verdict.NOT_RUN)
         if failure is not None:
@@ -230,4 +230,4 @@
     body = json.dumps({"request_id": ticket}).encode()
     transfer = Transfer("POST", f"{address}/engine/cancel", ["Content-Type: application/json"], body, _CANCEL_TIMEOUT_S)
     result = fetch(transfer)
-    return result.whole and result.status == 200
+    return result.is_complete and result.status == 200
--- a/libs/arbutusrill_entry/_services.py
+++ b/libs/arbutusrill_entry/_services.py
@@ -120,7 +120,7 @@
         with ServerReservation(self._context, self.requirements, self._caller, self._guard) as reservation:
             for attempt in range(1, _MAX_ATTEMPTS + 1):
                 answer, result = self._send(reservation, attempt)
-                if result.whole:
+                if result.is_complete:
                     return answer
                 outcome = "not_sent" if result.verdict is Verdict.NOT_RUN else "decode_failed"
                 reservation.set_failure(outcome, reservation.assignment.decode_server)
@@ -181,13 +181,13 @@
             self.request.get_data(),
             _CALL_TIMEOUT_S,
             _STALL_TIMEOUT_S,
-            fresh=not self._repeatable or attempt > 1,
+            new_connection=not self._repeatable or attempt > 1,
             on_head=answer.on_head,
             on_data=answer.on_data,
         )
         if self._repeatable:
             # Only repeatable calls may be aborted: the outcome of any other aborted call would be unknown.
-            transfer.watched = self._caller
+            transfer.caller_connection = self._caller
             transfer.should_stop = self._key_refused
             transfer.stall_s = _FIRST_ATTEMPT_STALL_TIMEOUT_S if attempt == 1 else _STALL_TIMEOUT_S
         return transfer
--- a/libs/arbutusrill_gateway/_attempt.py
+++ b/libs/arbutusrill_gateway/_attempt.py
@@ -75,9 +75,9 @@
         timeout_s,
         stall_s,
         min(_CONNECT_TIMEOUT_S, timeout_s),
-        fresh=True,
-        plain=True,
-        watched=request.connection,
+        new_connection=True,
+        omit_default_headers=True,
+        caller_connection=request.connection,
         on_head=on_head,
         on_data=on_data,
     )
@@ -98,7 +98,7 @@
         return Outcome.BROKEN, f"the answer is for request {response.request_id}"
     if response is not None and response.not_run:
         return Outcome.REJECTED, f"status {response.status}, not run"
-    if result.whole:
+    if result.is_complete:
         if response is None or response.request_id != request.id:
             return Outcome.BROKEN, "the answer names no request"
         if response.status < 300 and not response.stamped and not backend_request.prefill:
--- a/libs/arbutusrill_gateway/_placement.py
+++ b/libs/arbutusrill_gateway/_placement.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from arbutusrill_base import Clock, EventLog
-from arbutusrill_http import caller_gone
+from arbutusrill_http import peer_closed
 from arbutusrill_site import Service, SiteView
 from arbutusrill_state import ControlClient, ControlUnavailableError
 from arbutusrill_wire import messages
@@ -124,7 +124,7 @@
                 return self._accept_reply(reply, wanted), None
             if reply.refused or self._clock.monotonic() >= deadline:
                 return None, max(MIN_RETRY_AFTER_S, reply.wait_ms / 1000)
-            if request.connection is not None and caller_gone(request.connection):
+            if request.connection is not None and peer_closed(request.connection):
                 raise ConnectionResetError("caller disconnected while waiting for an engine")
             poll_s = _POLL_S
         return None, None
--- a/libs/arbutusrill_gateway/_prefill.py
+++ b/libs/arbutusrill_gateway/_prefill.py
@@ -77,6 +77,13 @@
     path = exchange.protocol.release_path(kv_cache)
     url = f"http://{kv_cache.address}{path}"
     result = fetch(
-        Transfer("DELETE", url, timeout_s=_RELEASE_TIMEOUT_S, connect_s=_RELEASE_TIMEOUT_S, fresh=True, plain=True)
+        Transfer(
+            "DELETE",
+            url,
+            timeout_s=_RELEASE_TIMEOUT_S,
+            connect_s=_RELEASE_TIMEOUT_S,
+            new_connection=True,
+            omit_default_headers=True,
+        )
     )
     _events.emit("handle_released", request=exchange.request.id, handle=kv_cache.handle, status=result.status)
--- a/libs/arbutusrill_http/__init__.py
+++ b/libs/arbutusrill_http/__init__.py
@@ -10,7 +10,7 @@
 from ._handler import AbortStreamError
 from ._json import error_body, failure_response, json_response
 from ._server import HttpLimits, HttpServer
-from ._sockets import caller_gone
+from ._sockets import peer_closed
 
 __all__ = [  # noqa: F822
     "AbortStreamError",
@@ -18,12 +18,12 @@
     "HttpServer",
     "Transfer",
     "TransferResult",
-    "caller_gone",
     "close_connections",
     "error_body",
     "failure_response",
     "fetch",
     "json_response",
+    "peer_closed",
 ]
 
 _LAZY_NAMES = ("Transfer", "TransferResult", "close_connections", "fetch")
--- a/libs/arbutusrill_http/_server.py
+++ b/libs/arbutusrill_http/_server.py
@@ -188,7 +188,7 @@
 
     The application gets the whole request body in memory and the caller's socket as
     ``environ["werkzeug.socket"]``. It may raise `AbortStreamError` after the response has begun. On exit from the
-    context, requests in progress finish, unless `cut` is called.
+    context, requests in progress finish, unless `abort_connections` is called.
     """
 
     def __init__(
@@ -224,10 +224,10 @@
         """Closes the connections that wait for a request; new ones are still accepted."""
         self._server.close_idle_connections()
 
-    def busy(self) -> int:
+    def active_connections(self) -> int:
         """Returns the number of connections with a request in progress."""
         return self._server.active_connections()
 
-    def cut(self) -> int:
+    def abort_connections(self) -> int:
         """Closes all connections immediately and returns how many had a request in progress."""
         return self._server.abort_connections()
--- a/libs/arbutusrill_http/_sockets.py
+++ b/libs/arbutusrill_http/_sockets.py
@@ -6,7 +6,7 @@
 import socket
 import struct
 
-__all__ = ["caller_gone", "set_dead_peer_timeouts", "set_send_timeout"]
+__all__ = ["peer_closed", "set_dead_peer_timeouts", "set_send_timeout"]
 
 _KEEPALIVE_IDLE_S = 10
 _KEEPALIVE_INTERVAL_S = 5
@@ -37,7 +37,7 @@
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval)
 
 
-def caller_gone(connection: socket.socket) -> bool:
+def peer_closed(connection: socket.socket) -> bool:
     """Returns whether the peer of `connection` has closed or reset it."""
     poller = select.poll()
     poller.register(connection, select.POLLRDHUP)
--- a/libs/arbutusrill_http/_transfer.py
+++ b/libs/arbutusrill_http/_transfer.py
@@ -29,13 +29,13 @@
 class Transfer:
     """One HTTP request.
 
-    `fresh` opens a new connection and closes it afterwards. Calls that must run at most once need it, because libcurl
-    resends a request when a reused connection turns out to be closed.
+    `new_connection` opens a new connection and closes it afterwards. Calls that must run at most once need it, because
+    libcurl resends a request when a reused connection turns out to be closed.
     `on_head` gets the status and the headers. `on_data` gets each part of the body as it arrives; without it the body
-    is collected. `should_stop` is polled and cancels the transfer when it returns True. `watched` is the connection of
-    the caller; the transfer is cancelled when the caller closes it.
+    is collected. `should_stop` is polled and cancels the transfer when it returns True. `caller_connection` is the
+    connection of the caller; the transfer is cancelled when the caller closes it.
     `timeout_s` limits the whole transfer, `connect_s` the time to connect and `stall_s` the time without any byte.
-    `plain` omits the headers that libcurl adds by default.
+    `omit_default_headers` omits the headers that libcurl adds by default.
     """
 
     method: str
@@ -45,9 +45,9 @@
     timeout_s: float = 30.0
     stall_s: float | None = None
     connect_s: float = _CONNECT_TIMEOUT_S
-    fresh: bool = False
-    plain: bool = False
-    watched: socket.socket | None = None
+    new_connection: bool = False
+    omit_default_headers: bool = False
+    caller_connection: socket.socket | None = None
     on_head: Callable[[int, dict[str, str]], None] | None = None
     on_data: Callable[[bytes], None] | None = None
     should_stop: Callable[[], bool] | None = None
@@ -70,7 +70,7 @@
     verdict: Verdict = Verdict.NOT_RUN
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether a complete response arrived."""
         return not self.error
 
@@ -165,7 +165,7 @@
     def run(self) -> TransferResult:
         loop = _current_loop()
         easy = self._make_easy_handle()
-        watched = self._transfer.watched.fileno() if self._transfer.watched is not None else -1
+        watched = self._transfer.caller_connection.fileno() if self._transfer.caller_connection is not None else -1
         if watched >= 0:
             loop.poller.register(watched, select.POLLRDHUP)
         loop.multi.add_handle(easy)
@@ -241,11 +241,11 @@
             easy.setopt(pycurl.CUSTOMREQUEST, transfer.method)
         if transfer.method == "HEAD":
             easy.setopt(pycurl.NOBODY, 1)
-        if transfer.fresh:
+        if transfer.new_connection:
             easy.setopt(pycurl.FRESH_CONNECT, 1)
             easy.setopt(pycurl.FORBID_REUSE, 1)
         headers = ["Expect:", *transfer.headers]
-        if transfer.plain:
+        if transfer.omit_default_headers:
             given_names = {line.partition(":")[0].lower() for line in transfer.headers}
             headers += [f"{name}:" for name in _LIBCURL_HEADERS if name.lower() not in given_names]
         easy.setopt(pycurl.HTTPHEADER, headers)
--- a/libs/arbutusrill_http/tests/test_server.py
+++ b/libs/arbutusrill_http/tests/test_server.py
@@ -228,9 +228,9 @@
         server.stop_listening()
         # The thread of the idle connection may still be finishing its response.
         deadline = time.monotonic() + 10
-        while server.busy() != 1 and time.monotonic() < deadline:
+        while server.active_connections() != 1 and time.monotonic() < deadline:
             time.sleep(0.01)
-        assert server.busy() == 1
+        assert server.active_connections() == 1
         with pytest.raises(ConnectionRefusedError):
             connect(server)
         assert idle.recv(1) == b""
--- a/libs/arbutusrill_http/tests/test_transfer.py
+++ b/libs/arbutusrill_http/tests/test_transfer.py
@@ -44,14 +44,14 @@
     ],
 )
 def test_incomplete_response_has_verdict_may_have_run(script):
-    result = fetch(Transfer("POST", serve_once(script), body=b"x", fresh=True))
-    assert not result.whole
+    result = fetch(Transfer("POST", serve_once(script), body=b"x", new_connection=True))
+    assert not result.is_complete
     assert result.verdict is Verdict.MAY_HAVE_RUN
 
 
 def test_silent_server_fails_after_stall_s():
     started = time.monotonic()
-    result = fetch(Transfer("POST", serve_once(lambda c: time.sleep(5)), body=b"x", stall_s=0.4, fresh=True))
+    result = fetch(Transfer("POST", serve_once(lambda c: time.sleep(5)), body=b"x", stall_s=0.4, new_connection=True))
     assert (result.error, result.verdict) == ("stall", Verdict.MAY_HAVE_RUN)
     assert time.monotonic() - started < 3
 
@@ -64,10 +64,10 @@
         return Response(b"ok")(environ, start)
 
     with HttpServer("127.0.0.1", 0, app) as server:
-        for fresh in (True, True, False, False):
-            assert fetch(Transfer("GET", f"http://{server.address}/", fresh=fresh)).whole
+        for new_connection in (True, True, False, False):
+            assert fetch(Transfer("GET", f"http://{server.address}/", new_connection=new_connection)).is_complete
     assert len(set(ports[:3])) == 3
-    assert ports[2] == ports[3], "transfers without fresh reuse the connection"
+    assert ports[2] == ports[3], "transfers without `new_connection` reuse the connection"
 
 
 def test_unresponsive_connections_have_tcp_timeouts(monkeypatch):
@@ -91,5 +91,5 @@
 
     monkeypatch.setattr(_transfer, "_on_socket_created", on_connection)
     with HttpServer("127.0.0.1", 0, app) as server:
-        assert fetch(Transfer("GET", f"http://{server.address}/", fresh=True)).whole
+        assert fetch(Transfer("GET", f"http://{server.address}/", new_connection=True)).is_complete
     assert (server_options, client_options) == ([10_000, 1, 1], [2000])
--- a/libs/arbutusrill_pool/_engine_calls.py
+++ b/libs/arbutusrill_pool/_engine_calls.py
@@ -62,12 +62,12 @@
     def cancel(self, address: str, request_id: str) -> bool:
         """Calls ``POST /engine/cancel``."""
         result = self._post(address, "/engine/cancel", {"request_id": request_id}, CALL_TIMEOUT_S)
-        return result.whole and result.status in (200, 404)
+        return result.is_complete and result.status in (200, 404)
 
     def requests(self, address: str) -> list[EngineRequest] | None:
         """Calls ``GET /engine/requests``."""
-        result = fetch(Transfer("GET", address + "/engine/requests", timeout_s=CALL_TIMEOUT_S, fresh=True))
-        if not result.whole or result.status != 200:
+        result = fetch(Transfer("GET", address + "/engine/requests", timeout_s=CALL_TIMEOUT_S, new_connection=True))
+        if not result.is_complete or result.status != 200:
             return None
         try:
             rows = json.loads(result.body)["requests"]
@@ -79,13 +79,15 @@
     def order(self, address: str, order: dict[str, Any]) -> OrderAnswer:
         """Calls ``POST /engine/orders``."""
         result = self._post(address, "/engine/orders", order, ORDER_TIMEOUT_S)
-        if not result.whole:
+        if not result.is_complete:
             return OrderAnswer(0, result.detail)
         return OrderAnswer(result.status, result.body[:200].decode("utf-8", "replace"))
 
     def _post(self, address: str, path: str, body: dict[str, Any], timeout_s: float) -> TransferResult:
         return fetch(
-            Transfer("POST", address + path, _HEADERS, json.dumps(body).encode(), timeout_s=timeout_s, fresh=True)
+            Transfer(
+                "POST", address + path, _HEADERS, json.dumps(body).encode(), timeout_s=timeout_s, new_connection=True
+            )
         )
 
 
--- a/libs/arbutusrill_standins/_announcer.py
+++ b/libs/arbutusrill_standins/_announcer.py
@@ -35,7 +35,7 @@
         """
         url = f"http://{self._entries[0]}{path}"
         result = fetch(Transfer("POST", url, self._headers, json.dumps(value).encode(), timeout_s=1.0))
-        if not result.whole or result.status != 200:
+        if not result.is_complete or result.status != 200:
             self._entries.append(self._entries.pop(0))
             return None
         try:
--- a/libs/arbutusrill_standins/_engine.py
+++ b/libs/arbutusrill_standins/_engine.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from arbutusrill_base import BLOCK_BYTES, TaskGroup, new_incarnation, prefix_blocks
-from arbutusrill_http import AbortStreamError, Transfer, caller_gone, fetch, json_response
+from arbutusrill_http import AbortStreamError, Transfer, fetch, json_response, peer_closed
 from werkzeug.wrappers import Request
 
 from ._announcer import cache_events_message
@@ -150,7 +150,7 @@
         chunks = -(-tokens // chunk_tokens) if chunk_tokens else 1
 
         def should_stop() -> bool:
-            return active.cancelled.is_set() or (not self.faults.is_silenced(connection) and caller_gone(connection))
+            return active.cancelled.is_set() or (not self.faults.is_silenced(connection) and peer_closed(connection))
 
         seconds = tokens / (options.prefill_tokens_per_s * options.speed)
         fraction = self._prefill_queue.run(seconds, chunks, active.priority, should_stop)
@@ -165,7 +165,7 @@
         if entry is None:
             raise RefusedError(410, "kv_gone")
         transfer = self._kv_link.start(entry.tokens * self.options.kv_bytes_per_token)
-        complete = self._kv_link.wait(transfer, lambda: entry.request.cancelled.is_set() or caller_gone(connection))
+        complete = self._kv_link.wait(transfer, lambda: entry.request.cancelled.is_set() or peer_closed(connection))
         self._kv_store.release(entry, used=complete)
         if not complete:
             raise RefusedError(410, "kv_gone")
@@ -191,12 +191,17 @@
             headers = ["Content-Type: application/json"]
             result = fetch(
                 Transfer(
-                    "POST", f"{source}/engine/kv/export", headers, export_request, _IMPORT_TIMEOUT_S, watched=connection
+                    "POST",
+                    f"{source}/engine/kv/export",
+                    headers,
+                    export_request,
+                    _IMPORT_TIMEOUT_S,
+                    caller_connection=connection,
                 )
             )
-            if not result.whole or result.status != 200:
+            if not result.is_complete or result.status != 200:
                 raise RefusedError(410, "kv_gone")
-            if not self._kv_link.wait(transfer, lambda: active.cancelled.is_set() or caller_gone(connection)):
+            if not self._kv_link.wait(transfer, lambda: active.cancelled.is_set() or peer_closed(connection)):
                 raise RefusedError(409, "cancelled")
         finally:
             self._kv_link.stop(transfer)
@@ -208,7 +213,7 @@
         first_offset = int(body.get("offset", 0))
         end_offset = first_offset + int(body["max_tokens"])
         active = self._request_table.admit_queued(
-            body, "decode", self.options.slots, self.options.max_queue_wait_s, lambda: caller_gone(connection)
+            body, "decode", self.options.slots, self.options.max_queue_wait_s, lambda: peer_closed(connection)
         )
         try:
             mark, mark_from = self._import_kv(body, active, connection)
@@ -263,7 +268,7 @@
     def _send_event(self, event: JsonObject, write: Callable[[bytes], Any], connection: socket.socket) -> None:
         if self.faults.is_silenced(connection):
             return
-        if caller_gone(connection):
+        if peer_closed(connection):
             raise ConnectionResetError
         write(b"data: " + json.dumps(event).encode() + b"\n\n")
 
--- a/libs/arbutusrill_standins/_faults.py
+++ b/libs/arbutusrill_standins/_faults.py
@@ -9,7 +9,7 @@
 import weakref
 from typing import Any
 
-from arbutusrill_http import AbortStreamError, caller_gone
+from arbutusrill_http import AbortStreamError, peer_closed
 
 __all__ = ["FAULT_KINDS", "FaultInjector"]
 
@@ -90,7 +90,7 @@
     def hold_open(self, connection: socket.socket) -> None:
         """Blocks until the peer closes a silenced connection, at most one hour, then raises `AbortStreamError`."""
         deadline = time.monotonic() + _MAX_FAULT_S
-        while time.monotonic() < deadline and not caller_gone(connection):
+        while time.monotonic() < deadline and not peer_closed(connection):
             time.sleep(_POLL_INTERVAL_S)
         raise AbortStreamError
 
--- a/libs/arbutusrill_standins/tests/test_engine.py
+++ b/libs/arbutusrill_standins/tests/test_engine.py
@@ -93,7 +93,7 @@
     def run_stream(number):
         prefill = client.prefill(f"r{number}")
         began = time.monotonic()
-        assert client.decode(f"r{number}", prefill, tokens=100).whole
+        assert client.decode(f"r{number}", prefill, tokens=100).is_complete
         return time.monotonic() - began
 
     with ThreadPoolExecutor(20) as executor:
@@ -110,7 +110,7 @@
     with ThreadPoolExecutor(3) as executor:
         began = time.monotonic()
         list(executor.map(lambda named_prefill: client.decode(named_prefill[0], named_prefill[1], tokens=10), prefills))
-    assert alone.whole
+    assert alone.is_complete
     assert time.monotonic() - began > 0.4
 
 
@@ -150,7 +150,7 @@
 
 def test_used_kv_does_not_count_as_wasted_prefill(start_engine):
     client = start_engine(kv_ttl_s=0.3)
-    assert client.decode("a", client.prefill("a")).whole
+    assert client.decode("a", client.prefill("a")).is_complete
     time.sleep(0.5)
     assert client.counters()["prefill_tokens_wasted"] == 0
 
@@ -168,7 +168,7 @@
     prefills = [(name, source.prefill(name)) for name in ("a", "b")]
     began = time.monotonic()
     with ThreadPoolExecutor(2) as executor:
-        assert all(result.whole for result in executor.map(decode, prefills))
+        assert all(result.is_complete for result in executor.map(decode, prefills))
     assert time.monotonic() - began >= 0.38
 
 
@@ -179,7 +179,7 @@
     wait_for(lambda: client.stages() == ["decode"])
     for _ in range(2):
         assert json.loads(client.call("/engine/cancel", {"request_id": "a"}).body)["state"] == "cancelled"
-    assert not future.result(5).whole
+    assert not future.result(5).is_complete
     assert client.stages() == []
 
 
@@ -195,7 +195,7 @@
     prefill = client.prefill("a", "[[m]]")
     client.fault(kind="cut")
     cut = client.decode("a", prefill, tokens=8)
-    assert not cut.whole
+    assert not cut.is_complete
     received = events(cut.body)
     remainder = client.call(f"/engine/streams/a?offset={len(received)}")
     assert [event.get("token") for event in received + events(remainder.body)] == [f"m.{n} " for n in range(8)] + [None]
@@ -215,8 +215,8 @@
     long = in_background(client.decode, "a", prefills["a"], tokens=100)
     wait_for(lambda: "decode" in client.stages())
     assert client.decode("b", prefills["b"]).status == 503
-    assert long.result(10).whole
-    assert client.decode("c", prefills["c"]).whole
+    assert long.result(10).is_complete
+    assert client.decode("c", prefills["c"]).is_complete
     assert client.counters()["peak_decode"] == 1
 
 
@@ -230,7 +230,7 @@
     assert future.result(5).error == "stall"
     offset = len(events(b"".join(pieces)))
     remainder = in_background(client.call, f"/engine/streams/a?offset={offset}").result(5)
-    assert remainder.whole
+    assert remainder.is_complete
     assert events(remainder.body)[0]["token"] == f"m.{offset} "
 
 
@@ -239,7 +239,7 @@
     client.fault(kind="silence", connections="all", for_s=30)
     assert client.call("/engine/requests", timeout_s=0.5).error == "timeout"
     client.fault(kind="clear")
-    assert client.call("/engine/requests", fresh=True).status == 200
+    assert client.call("/engine/requests", new_connection=True).status == 200
 
 
 def test_decode_continues_after_a_stall(start_engine):
@@ -248,7 +248,7 @@
     client.fault(kind="stall", for_s=0.6)
     began = time.monotonic()
     result = client.decode("a", prefill, tokens=5)
-    assert result.whole
+    assert result.is_complete
     assert time.monotonic() - began > 0.5
 
 
--- a/libs/arbutusrill_standins/tests/test_service.py
+++ b/libs/arbutusrill_standins/tests/test_service.py
@@ -16,7 +16,9 @@
             data = b"" if body is None else json.dumps(body).encode()
             # On a reused connection that breaks, libcurl would resend the request by itself.
             return fetch(
-                Transfer(method, f"http://{server.address}{path}", list(headers), data, timeout_s=5, fresh=True)
+                Transfer(
+                    method, f"http://{server.address}{path}", list(headers), data, timeout_s=5, new_connection=True
+                )
             )
 
         yield send
@@ -38,6 +40,6 @@
 @pytest.mark.parametrize(("after", "booked"), [(True, 1), (False, 0)])
 def test_cut_response_is_incomplete_whether_or_not_the_booking_was_made(call, after, booked):
     call("POST", "/stand-in/fault", {"kind": "cut", "after_booking": after})
-    assert not call("POST", "/bookings", {"seat": 1}).whole
+    assert not call("POST", "/bookings", {"seat": 1}).is_complete
     assert counters(call)["bookings"] == booked
-    assert call("POST", "/bookings", {"seat": 2}).whole
+    assert call("POST", "/bookings", {"seat": 2}).is_complete
