--- a/libs/arbutusrill_wire/_server.py
+++ b/libs/arbutusrill_wire/_server.py
@@ -34,14 +34,14 @@
     def __init__(self, host: str, port: int, handlers: dict[Any, object], limit: int = 256):
         self._method_by_name: dict[str, tuple[Any, Any]] = {}
         for service, handler in handlers.items():
-            self.add(service, handler)
+            self.add_service(service, handler)
         self.on_call: Callable[[str, str, float], None] = lambda method, outcome, took_s: None
         self._listener = socket.create_server((host, port), backlog=256)
         self._tasks = TaskGroup("rpc", limit + 1)
         self._connections: set[socket.socket] = set()
         self.address = "{}:{}".format(*self._listener.getsockname()[:2])
 
-    def add(self, service: Any, handler: object) -> None:
+    def add_service(self, service: Any, handler: object) -> None:
         """Adds a service; until then, calls of its methods fail with an unknown method error."""
         methods = {name: (service, getattr(handler, name)) for name in service.thrift_services}
         self._method_by_name = {**self._method_by_name, **methods}
--- a/libs/arbutusrill_wire/tests/test_rpc.py
+++ b/libs/arbutusrill_wire/tests/test_rpc.py
@@ -75,7 +75,7 @@
     with RpcServer("127.0.0.1", 0, {}) as server, RpcClient(server.address) as client:
         with pytest.raises(RpcError, match="unknown method"):
             client.call(messages.Control, "propose", messages.Command("r-1", at_ms=5), timeout=2.0)
-        server.add(messages.Control, handler)
+        server.add_service(messages.Control, handler)
         assert client.call(messages.Control, "propose", messages.Command("r-1", at_ms=5), timeout=2.0).revision == 5
 
 
