--- a/libs/arbutusrill_control/_replicas.py
+++ b/libs/arbutusrill_control/_replicas.py
@@ -34,7 +34,7 @@
             raise messages.Refused("unavailable", str(error)) from None
         return [
             messages.ReplicaRow(
-                row.id, row.address, row.kind, row.leads, row.match_index, max(-1, int(row.silent_s * 1000))
+                row.id, row.address, row.kind, row.is_leader, row.match_index, max(-1, int(row.silent_s * 1000))
             )
             for row in rows
         ]
--- a/libs/arbutusrill_raft/_core.py
+++ b/libs/arbutusrill_raft/_core.py
@@ -64,7 +64,7 @@
         clock: Clock,
         timing: Timing,
         bounds: Bounds,
-        alone_since: float,
+        exclusive_since: float,
     ):
         self.storage = storage
         self.state_machine = machine
@@ -102,7 +102,7 @@
         self.proposal_by_index: dict[int, tuple[int, Future]] = {}
         # No vote is granted before this time: until its restart, the replica may have acknowledged a leader's message
         # and so extended that leader's lease.
-        self.no_vote_until = alone_since + timing.lease_s * (1 + _MAX_CLOCK_DRIFT_FRACTION)
+        self.no_vote_until = exclusive_since + timing.lease_s * (1 + _MAX_CLOCK_DRIFT_FRACTION)
         # The first election timeout is short. A running leader sends a heartbeat before it ends; without a leader,
         # the whole group is unavailable until the election.
         can_vote_at = max(clock.monotonic(), self.no_vote_until)
--- a/libs/arbutusrill_raft/_elections.py
+++ b/libs/arbutusrill_raft/_elections.py
@@ -98,7 +98,7 @@
         members = [core.own_id]
         for other in self._other_initial_voters:
             try:
-                reply = self._transport.call(other, "hello", core.own_id, core.timing.call_s)
+                reply = self._transport.call(other, "hello", core.own_id, core.timing.call_timeout_s)
             except (OSError, messages.Refused):
                 reply = None
             if reply is None or reply.group or reply.fault:
--- a/libs/arbutusrill_raft/_membership_changes.py
+++ b/libs/arbutusrill_raft/_membership_changes.py
@@ -104,7 +104,7 @@
         if address == address_of(own_id):
             return own_id
         try:
-            reply = self._transport.call(address, "hello", own_id, core.timing.call_s)
+            reply = self._transport.call(address, "hello", own_id, core.timing.call_timeout_s)
         except (OSError, messages.Refused) as error:
             raise MembershipError(f"the replica at {address} does not answer: {error}") from None
         if reply.fault:
--- a/libs/arbutusrill_raft/_peer.py
+++ b/libs/arbutusrill_raft/_peer.py
@@ -67,7 +67,9 @@
             if call is None:
                 return
             try:
-                reply = self._transport.call(address_of(self.member), call.name, call.request, core.timing.call_s)
+                reply = self._transport.call(
+                    address_of(self.member), call.name, call.request, core.timing.call_timeout_s
+                )
             except (OSError, messages.Refused):
                 reply = None
             with core.lock:
--- a/libs/arbutusrill_raft/_receiver.py
+++ b/libs/arbutusrill_raft/_receiver.py
@@ -65,7 +65,7 @@
         return (request.last_term, request.last_index) >= (log.last_term, log.last_index)
 
     def append(self, request: Any) -> Any:
-        """Appends entries; replies once they are durable, or after `durable_wait_s` with the last durable index."""
+        """Appends entries; replies once they are durable, or after `max_durable_wait_s` with the last durable index."""
         core = self._core
         with core.lock:
             core.require_target(request.target)
@@ -115,7 +115,7 @@
 
     def _wait_durable(self, index: int) -> None:
         core = self._core
-        deadline = core.clock.monotonic() + core.timing.durable_wait_s
+        deadline = core.clock.monotonic() + core.timing.max_durable_wait_s
         while core.durable_index < index and not (core.fault or core.stopping):
             remaining = deadline - core.clock.monotonic()
             if remaining <= 0:
--- a/libs/arbutusrill_raft/_replica.py
+++ b/libs/arbutusrill_raft/_replica.py
@@ -43,7 +43,7 @@
     id: str
     address: str
     kind: str  # voter or learner
-    leads: bool
+    is_leader: bool
     match_index: int
     silent_s: float
 
@@ -52,8 +52,8 @@
     """A replica of the log, used as a context manager: its threads run while the context is entered.
 
     `address` is its RPC address, where `handler` must be served as the IDL's `Raft` service. `initial` lists the
-    RPC addresses of the group's first voters; it is used only until the group has formed. `alone_since` is a time on
-    `clock` (a `BootClock` by default) since which no other process has used `folder`, such as the start of this
+    RPC addresses of the group's first voters; it is used only until the group has formed. `exclusive_since` is a time
+    on `clock` (a `BootClock` by default) since which no other process has used `folder`, such as the start of this
     process; by default it is the current time. The replica grants no vote and starts no election until a lease that
     an earlier process may have extended before that time has expired. Raises `StorageError` when the files in
     `folder` cannot be used.
@@ -69,7 +69,7 @@
         clock: Clock | None = None,
         timing: Timing | None = None,
         bounds: Bounds | None = None,
-        alone_since: float | None = None,
+        exclusive_since: float | None = None,
     ):
         self._transport = transport or RpcTransport()
         folder = _open_folder(folder) if isinstance(folder, str) else folder
@@ -83,7 +83,7 @@
                 clock,
                 timing or Timing(),
                 bounds or Bounds(),
-                clock.monotonic() if alone_since is None else alone_since,
+                clock.monotonic() if exclusive_since is None else exclusive_since,
             )
         except BaseException:
             folder.close()
--- a/libs/arbutusrill_raft/_timing.py
+++ b/libs/arbutusrill_raft/_timing.py
@@ -15,8 +15,8 @@
     election_min_s: float = 0.5
     election_max_s: float = 1.0
     lease_s: float = 0.4
-    call_s: float = 0.4  # timeout of a call; below election_min_s to replace a silent connection in time
-    durable_wait_s: float = 0.25  # longest wait for the disk before a follower answers an append
+    call_timeout_s: float = 0.4  # below election_min_s to replace a silent connection in time
+    max_durable_wait_s: float = 0.25  # for the disk, before a follower answers an append
 
 
 @dataclass(slots=True, frozen=True)
--- a/libs/arbutusrill_raft/tests/group.py
+++ b/libs/arbutusrill_raft/tests/group.py
@@ -198,12 +198,14 @@
         for address in list(self.replicas):
             self.stop(address)
 
-    def start(self, address, clock: Clock | None = None, alone_since=None):
+    def start(self, address, clock: Clock | None = None, exclusive_since=None):
         disk = self.disks.setdefault(address, MemoryDisk())
         disk.max_sync_s = self.max_sync_s
         machine = self.machines[address] = ListMachine()
         transport = FaultyTransport(self, address)
-        replica = Replica(address, self.initial, disk, machine, transport, clock, self.timing, self.bounds, alone_since)
+        replica = Replica(
+            address, self.initial, disk, machine, transport, clock, self.timing, self.bounds, exclusive_since
+        )
         self.replicas[address] = replica
         return replica.__enter__()
 
--- a/libs/arbutusrill_raft/tests/test_replica.py
+++ b/libs/arbutusrill_raft/tests/test_replica.py
@@ -140,7 +140,7 @@
         group.kill(follower)
         for other in list(group.replicas):
             group.kill(other)
-        replica = group.start(follower, alone_since=BootClock().monotonic() - QUICK_TIMING.election_min_s)
+        replica = group.start(follower, exclusive_since=BootClock().monotonic() - QUICK_TIMING.election_min_s)
         status = replica.status()
         request = messages.VoteRequest(status.term + 1, "10.0.0.9:1/x", 999, 999, True, target=status.replica)
         assert replica.handler.vote(request).granted
@@ -153,7 +153,7 @@
         for other in list(group.replicas):
             group.kill(other)
         started_at = BootClock().monotonic()
-        replica = group.start(follower, alone_since=started_at)
+        replica = group.start(follower, exclusive_since=started_at)
         core, status = replica._core, replica.status()
         assert started_at + QUICK_TIMING.lease_s < core.no_vote_until < started_at + QUICK_TIMING.election_min_s
         request = messages.VoteRequest(status.term + 1, "10.0.0.9:1/x", 999, 999, True, target=status.replica)
@@ -165,7 +165,7 @@
     with Group() as group:
         address = group.followers()[0]
         group.kill(address)
-        replica = group.start(address, alone_since=BootClock().monotonic() - QUICK_TIMING.election_min_s)
+        replica = group.start(address, exclusive_since=BootClock().monotonic() - QUICK_TIMING.election_min_s)
         assert replica._core.election_due_at <= BootClock().monotonic() + QUICK_TIMING.election_min_s
 
 
@@ -175,7 +175,7 @@
         address = group.followers()[0]
         for other in list(group.replicas):
             group.kill(other)
-        replica = group.start(address, alone_since=BootClock().monotonic() - QUICK_TIMING.election_min_s)
+        replica = group.start(address, exclusive_since=BootClock().monotonic() - QUICK_TIMING.election_min_s)
         core = replica._core
         wait_until(lambda: core.vote_round > 0, "the first pre-vote")
         with core.lock:
@@ -312,7 +312,7 @@
         core = group.replicas[group.leader()]._core
         peer = Peer(core, None, None, "10.0.0.9:1/x")
         now = core.clock.monotonic()
-        peer._handle_failure(_Call("append", None, now - core.timing.call_s, None))
+        peer._handle_failure(_Call("append", None, now - core.timing.call_timeout_s, None))
         assert peer._retry_not_before < now
         peer._handle_failure(_Call("append", None, now, None))
         assert peer._retry_not_before > now
