--- a/libs/arbutusrill_bench/capacity.py
+++ b/libs/arbutusrill_bench/capacity.py
@@ -20,7 +20,7 @@
 from arbutusrill_cli import OperatorError
 from arbutusrill_http import Transfer, fetch
 from arbutusrill_limits import GrantOwner, Limits
-from arbutusrill_state import SharedState, command
+from arbutusrill_state import SharedState, make_command
 from arbutusrill_wire import decode, encode, messages
 
 from ._report import commit_name
@@ -308,7 +308,7 @@
         messages.WithdrawKey(f"key{serial}"),
         messages.SetDefault("limits.rate", str(1000.0 + serial)),
     )[kind]
-    return command(change, "ops", 1_700_000_000_000 + number)
+    return make_command(change, "ops", 1_700_000_000_000 + number)
 
 
 def transfer_series(counts: list[int]) -> Table:
--- a/libs/arbutusrill_bench/proof_raft.py
+++ b/libs/arbutusrill_bench/proof_raft.py
@@ -19,7 +19,7 @@
 import typer
 from arbutusrill_base import new_request_id
 from arbutusrill_cli import OperatorError
-from arbutusrill_state import ControlClient, ControlUnavailableError, command
+from arbutusrill_state import ControlClient, ControlUnavailableError, make_command
 from arbutusrill_wire import RpcClient, RpcError, messages
 
 from ._site import LocalSite, Member, SiteError
@@ -77,7 +77,7 @@
             while not self._stopping.wait(_OPERATOR_PAUSE_S):
                 count += 1
                 name = f"w{number}-{count}"
-                proposal = command(messages.PutWorkspace(name, 1.0, 1.0), "proof", 0, new_request_id("proof"))
+                proposal = make_command(messages.PutWorkspace(name, 1.0, 1.0), "proof", 0, new_request_id("proof"))
                 started = time.monotonic()
                 outcome = self._propose(client, proposal)
                 if outcome is None:
--- a/libs/arbutusrill_bench/proof_raft_speed.py
+++ b/libs/arbutusrill_bench/proof_raft_speed.py
@@ -19,7 +19,7 @@
 import typer
 from arbutusrill_base import new_request_id
 from arbutusrill_cli import OperatorError
-from arbutusrill_state import ControlClient, command
+from arbutusrill_state import ControlClient, make_command
 from arbutusrill_wire import RpcClient, RpcError, messages
 
 from ._site import LocalSite, Member, SiteError
@@ -44,7 +44,7 @@
         """Returns accepted changes per second with `proposers` operators, each with one outstanding request."""
 
         def change(client: RpcClient, number: int) -> None:
-            proposal = command(messages.PutWorkspace(f"w{number}", 1.0, 1.0), "speed", 0, new_request_id("speed"))
+            proposal = make_command(messages.PutWorkspace(f"w{number}", 1.0, 1.0), "speed", 0, new_request_id("speed"))
             client.call(messages.Control, "propose", proposal, timeout=_CALL_TIMEOUT_S)
 
         return self._measure_rate(change, proposers, seconds)
@@ -54,12 +54,12 @@
 
         def call(client: RpcClient, number: int) -> None:
             key = new_request_id("call")
-            begin = command(messages.JournalBegin("dispatch", key, b"digest", "vm", 1), "speed", 0)
+            begin = make_command(messages.JournalBegin("dispatch", key, b"digest", "vm", 1), "speed", 0)
             answer = client.call(messages.Control, "begin_call", begin, timeout=_CALL_TIMEOUT_S)
             if answer.status != "started":
                 raise SiteError(f"begin_call with a new key returned status {answer.status!r}")
             finish = messages.JournalFinish("dispatch", key, answer.attempt, "done", 200, "[]", bytes(500))
-            client.call(messages.Control, "finish_call", command(finish, "speed", 0), timeout=_CALL_TIMEOUT_S)
+            client.call(messages.Control, "finish_call", make_command(finish, "speed", 0), timeout=_CALL_TIMEOUT_S)
 
         return self._measure_rate(call, callers, seconds)
 
@@ -87,7 +87,7 @@
         with ControlClient([member.rpc for member in self._controls]) as client:
             self._site.kill(leader.name)
             started = time.monotonic()
-            proposal = command(messages.PutWorkspace("failover", 1.0, 1.0), "speed", 0)
+            proposal = make_command(messages.PutWorkspace("failover", 1.0, 1.0), "speed", 0)
             client.call("propose", proposal, timeout=60.0, try_timeout=60.0)
             elapsed_s = time.monotonic() - started
         self._site.start(leader.name)
@@ -122,7 +122,9 @@
     def _propose_changes(self, count: int) -> None:
         with RpcClient(self._raft_proof.leader().rpc) as client:
             for number in range(count):
-                proposal = command(messages.PutWorkspace(f"x{number}", 1.0, 1.0), "speed", 0, new_request_id("speed"))
+                proposal = make_command(
+                    messages.PutWorkspace(f"x{number}", 1.0, 1.0), "speed", 0, new_request_id("speed")
+                )
                 client.call(messages.Control, "propose", proposal, timeout=_CALL_TIMEOUT_S)
 
     def _wait_until_replicas_agree(self) -> None:
--- a/libs/arbutusrill_bench/state_cost.py
+++ b/libs/arbutusrill_bench/state_cost.py
@@ -17,7 +17,7 @@
 from arbutusrill_control import ControlService, SharedMachine
 from arbutusrill_limits import GrantOwner, Limits
 from arbutusrill_raft import LocalLog
-from arbutusrill_state import SharedState, command
+from arbutusrill_state import SharedState, make_command
 from arbutusrill_wire import RpcClient, RpcServer, encode, messages
 
 __all__ = ["main"]
@@ -41,12 +41,12 @@
 def _build_state(workspaces: int, revisions: int, keys: int = 0) -> SharedState:
     state = SharedState()
     for number in range(workspaces):
-        state.apply(encode(command(messages.PutWorkspace(f"workspace-{number}", 200.0, 2000.0), "ops", 1)))
+        state.apply(encode(make_command(messages.PutWorkspace(f"workspace-{number}", 200.0, 2000.0), "ops", 1)))
     for number in range(keys):
         change = messages.IssueKey(f"key-{number:012x}", f"{number:064x}", f"workspace-{number % workspaces}")
-        state.apply(encode(command(change, "ops", 1)))
+        state.apply(encode(make_command(change, "ops", 1)))
     while state.config.revision < revisions:
-        state.apply(encode(command(messages.SetDefault("limits.rate", "5.0"), "ops", 1)))
+        state.apply(encode(make_command(messages.SetDefault("limits.rate", "5.0"), "ops", 1)))
     return state
 
 
@@ -63,7 +63,7 @@
         print(f"grant, {items} workspaces in a request: {per_s:,.0f} calls/s, {cpu:.1f} us of processor time each")
     machine = SharedMachine()
     service = ControlService(LocalLog(machine), machine, SystemClock())
-    service.propose(command(messages.PutWorkspace("w", 1e9, 1e9), "ops", 1))
+    service.propose(make_command(messages.PutWorkspace("w", 1e9, 1e9), "ops", 1))
     with RpcServer("127.0.0.1", 0, {messages.Control: service}) as server, RpcClient(server.address) as client:
 
         def call_rpc(number: int) -> object:
@@ -76,14 +76,14 @@
 
 def _print_journal_cost() -> None:
     state = SharedState()
-    state.apply(encode(command(messages.PutVm("vm1", "a", "b", "", 1, "live"), "ops", 1)))
+    state.apply(encode(make_command(messages.PutVm("vm1", "a", "b", "", 1, "live"), "ops", 1)))
     body = b"x" * 500
 
     def call(number: int) -> None:
         begin = messages.JournalBegin("workspace-1", f"booking-{number}", b"d" * 32, "vm1", 1)
-        state.apply(encode(command(begin, "vm1", 1, f"beg-{number}")))
+        state.apply(encode(make_command(begin, "vm1", 1, f"beg-{number}")))
         finish = messages.JournalFinish("workspace-1", f"booking-{number}", 1, "done", 201, "[]", body, f"beg-{number}")
-        state.apply(encode(command(finish, "vm1", 1)))
+        state.apply(encode(make_command(finish, "vm1", 1)))
 
     per_s, cpu = _measure_rate(call)
     print(f"journal begin and finish in the state machine: {per_s:,.0f} pairs/s, {cpu:.0f} us each")
@@ -114,7 +114,7 @@
         cpu, started, sent = time.process_time(), time.monotonic(), sum(sent_bytes)
         while (elapsed := time.monotonic() - started) < seconds:
             if changes:
-                service.propose(command(messages.SetDefault("limits.rate", "5.0"), "ops", 1))
+                service.propose(make_command(messages.SetDefault("limits.rate", "5.0"), "ops", 1))
             time.sleep(1 / changes if changes else min(0.5, seconds - elapsed))
         cpu_fraction = (time.process_time() - cpu) / (time.monotonic() - started)
         kb = (sum(sent_bytes) - sent) / (time.monotonic() - started) / 1000 / followers
@@ -145,9 +145,9 @@
             state = SharedState()
             for number in range(count // 4):
                 begin = messages.JournalBegin("workspace-1", f"booking-{number}", b"d" * 32, "vm1", 1)
-                state.apply(encode(command(begin, "vm1", 1, f"beg-{number:026d}")))
+                state.apply(encode(make_command(begin, "vm1", 1, f"beg-{number:026d}")))
                 finish = messages.JournalFinish("workspace-1", f"booking-{number}", 1, "done", 201, "[]", b"x" * body)
-                state.apply(encode(command(finish, "vm1", 1)))
+                state.apply(encode(make_command(finish, "vm1", 1)))
             return state
 
         state, size = _allocated_bytes(build)
--- a/libs/arbutusrill_control/_changes.py
+++ b/libs/arbutusrill_control/_changes.py
@@ -10,7 +10,7 @@
 
 from arbutusrill_base import Clock, Failure, FailureError, Verdict, hash_key, new_request_id
 from arbutusrill_http import json_response
-from arbutusrill_state import ConfigState, ControlClient, ControlUnavailableError, command
+from arbutusrill_state import ConfigState, ControlClient, ControlUnavailableError, make_command
 from arbutusrill_wire import messages
 from werkzeug.wrappers import Request, Response
 
@@ -49,7 +49,9 @@
         self, request: Request, actor: str, change: Any, extra: dict[str, Any] | None = None, request_id: str = ""
     ) -> Response:
         request_id = request_id or self._request_id(request)
-        proposal = command(change, actor, self._clock.wall_ms(), f"{actor}/{request_id}", parse_if_revision(request))
+        proposal = make_command(
+            change, actor, self._clock.wall_ms(), f"{actor}/{request_id}", parse_if_revision(request)
+        )
         outcome = self._propose(proposal, request_id)
         if not outcome.accepted:
             status = _STATUS_BY_CODE.get(outcome.code, 400)
--- a/libs/arbutusrill_control/_service.py
+++ b/libs/arbutusrill_control/_service.py
@@ -8,7 +8,7 @@
 from arbutusrill_base import Clock, PartLog
 from arbutusrill_limits import GrantOwner, Limits
 from arbutusrill_raft import LogUnavailableError, NotLeaderError, ReplicatedLog
-from arbutusrill_state import FEATURE_LEVEL, command
+from arbutusrill_state import FEATURE_LEVEL, make_command
 from arbutusrill_wire import decode, encode, messages
 
 from ._burn import BurnAggregator
@@ -186,11 +186,11 @@
             request.state,
         )
         if registered != wanted:
-            self.propose(command(wanted, "control", self._clock.wall_ms()))
+            self.propose(make_command(wanted, "control", self._clock.wall_ms()))
 
     def _propose_change(self, change: Any) -> None:
         try:
-            self.propose(command(change, "control", self._clock.wall_ms()))
+            self.propose(make_command(change, "control", self._clock.wall_ms()))
         except messages.Refused as refused:
             _log.warning("change proposed by the control role was not committed: %s", refused.message)
 
--- a/libs/arbutusrill_control/tests/test_service.py
+++ b/libs/arbutusrill_control/tests/test_service.py
@@ -5,7 +5,7 @@
 
 import pytest
 from arbutusrill_base import ManualClock
-from arbutusrill_state import Follower, VmIdentity, command
+from arbutusrill_state import Follower, VmIdentity, make_command
 from arbutusrill_wire import messages
 
 from arbutusrill_control import VmLeases, rendezvous
@@ -118,24 +118,24 @@
 def test_follower_far_behind_is_fresh_only_after_the_last_batch(control):
     for number in range(450):
         change = messages.SetDefault("limits.rate", str(number + 1))
-        control.service.propose(command(change, "t", 0, f"r{number}"))
+        control.service.propose(make_command(change, "t", 0, f"r{number}"))
     follower = Follower(VmIdentity("a", 1, "a:1", "a:2", "dc"), control.client, control.clock)
     states = []
-    while not follower.fresh():
+    while not follower.is_fresh():
         follower.poll(0)
         states.append(follower.config.revision)
     assert len(states) == 3 and states[-1] == control.config.revision
 
 
 def test_follower_is_not_fresh_when_the_group_lost_its_state(control):
-    control.service.propose(command(messages.SetDefault("limits.rate", "5"), "t", 0))
+    control.service.propose(make_command(messages.SetDefault("limits.rate", "5"), "t", 0))
     follower = Follower(VmIdentity("a", 1, "a:1", "a:2", "dc"), control.client, control.clock)
     follower.poll(0)
     before = follower.config.revision
     control.clock.advance(10)
     follower._control = ControlHarness().client
     follower.poll(0)
-    assert not follower.fresh() and follower.config.revision == before
+    assert not follower.is_fresh() and follower.config.revision == before
 
 
 def test_freshness_is_measured_from_sending_the_request(control):
@@ -149,9 +149,9 @@
 
     follower._control = SlowControlClient()
     follower.poll(0)
-    assert follower.fresh() and not follower.holds_lease()
+    assert follower.is_fresh() and not follower.holds_lease()
     control.clock.advance(0.2)
-    assert not follower.fresh()
+    assert not follower.is_fresh()
 
 
 def test_journal_commands_do_not_wake_followers(control):
@@ -163,16 +163,16 @@
     )
     thread.start()
     for number in range(20):
-        control.service.begin_call(command(messages.JournalBegin("w", f"k{number}", b"d", "a", 1), "a", 0))
+        control.service.begin_call(make_command(messages.JournalBegin("w", f"k{number}", b"d", "a", 1), "a", 0))
     thread.join()
     assert elapsed_s[0] >= 0.5
 
 
 def test_journal_sweep_uses_the_leaders_monotonic_clock(control):
     control.follow("a")
-    control.service.propose(command(messages.SetDefault("journal.retention_s", "60"), "t", 0))
-    control.service.begin_call(command(messages.JournalBegin("w", "k", b"d", "a", 1), "a", 0, "b1"))
-    control.service.finish_call(command(messages.JournalFinish("w", "k", 1, "done", begin_id="b1"), "a", 0))
+    control.service.propose(make_command(messages.SetDefault("journal.retention_s", "60"), "t", 0))
+    control.service.begin_call(make_command(messages.JournalBegin("w", "k", b"d", "a", 1), "a", 0, "b1"))
+    control.service.finish_call(make_command(messages.JournalFinish("w", "k", 1, "done", begin_id="b1"), "a", 0))
     control.clock.step_wall(10**6)
     control.run_for(40, "a")
     assert control.machine.state.journal.entries_by_key
@@ -181,7 +181,7 @@
 
 
 def test_grants_need_a_quorum_and_a_new_term_starts_with_empty_buckets(control):
-    control.service.propose(command(messages.PutWorkspace("w", 100.0, 1000.0), "t", 0))
+    control.service.propose(make_command(messages.PutWorkspace("w", 100.0, 1000.0), "t", 0))
     control.clock.advance(30)
 
     def request_tokens(sequence):
@@ -198,13 +198,13 @@
 
 def test_refused_begin_call_raises_refused(control):
     with pytest.raises(messages.Refused, match="bad_value"):
-        control.service.begin_call(command(messages.JournalBegin("w", "", b"d", "a", 1), "a", 0))
+        control.service.begin_call(make_command(messages.JournalBegin("w", "", b"d", "a", 1), "a", 0))
 
 
 def test_unsupported_feature_level_is_not_appended_to_the_log(control):
     before = control.log.proposal_count
     with pytest.raises(messages.Refused, match="feature_level"):
-        control.service.propose(command(messages.SetFeatureLevel(99), "t", 0))
+        control.service.propose(make_command(messages.SetFeatureLevel(99), "t", 0))
     assert control.log.proposal_count == before
 
 
--- a/libs/arbutusrill_daemon/_roles.py
+++ b/libs/arbutusrill_daemon/_roles.py
@@ -24,7 +24,7 @@
 from arbutusrill_limits import Limits, TokenLeases
 from arbutusrill_pool import PoolDirectory
 from arbutusrill_raft import Replica
-from arbutusrill_state import ConfigState, ControlClient, Follower, JournalClient, VmIdentity, command
+from arbutusrill_state import ConfigState, ControlClient, Follower, JournalClient, VmIdentity, make_command
 from arbutusrill_wire import RpcServer, messages
 
 from ._settings import DaemonSettings
@@ -156,7 +156,7 @@
 
 
 def _report_order(client: ControlClient, vm: str, clock: Clock, record: Any) -> bool:
-    return client.call("propose", command(record, vm, clock.wall_ms()), timeout=_PROPOSE_TIMEOUT_S).accepted
+    return client.call("propose", make_command(record, vm, clock.wall_ms()), timeout=_PROPOSE_TIMEOUT_S).accepted
 
 
 def _add_gauges(context: EntryContext, server: HttpServer) -> None:
--- a/libs/arbutusrill_entry/_app.py
+++ b/libs/arbutusrill_entry/_app.py
@@ -127,7 +127,7 @@
         return json_response({"status": "ok"})(request.environ, start_response)
 
     def _readyz(self, request: Request, start_response: Callable) -> Iterable[bytes]:
-        ready = self._follower.fresh() and not self.draining
+        ready = self._follower.is_fresh() and not self.draining
         reason = "draining" if self.draining else "" if ready else "stale"
         return json_response({"ready": ready, "reason": reason}, 200 if ready else 503)(request.environ, start_response)
 
--- a/libs/arbutusrill_entry/_auth.py
+++ b/libs/arbutusrill_entry/_auth.py
@@ -38,7 +38,7 @@
 
     Raises `FailureError` with status 401 for a missing or invalid key and 503 if the configuration is stale.
     """
-    if not follower.fresh():
+    if not follower.is_fresh():
         message = "this VM cannot confirm that its list of keys is current, use another one"
         raise FailureError(Failure("stale", message, status=503, retry_after=1.0))
     key = presented_key(request)
--- a/libs/arbutusrill_entry/_guard.py
+++ b/libs/arbutusrill_entry/_guard.py
@@ -35,7 +35,7 @@
         if not self._key_hash or (not force and now - self._checked_at < _CHECK_INTERVAL_S):
             return None
         self._checked_at = now
-        if not self._follower.fresh():
+        if not self._follower.is_fresh():
             message = "this VM cannot confirm that its list of keys is current, use another one"
             return Failure("stale", message, verdict, 503, 1.0)
         if self._follower.config.workspace_of_key(self._key_hash) != self.workspace:
--- a/libs/arbutusrill_entry/_journal.py
+++ b/libs/arbutusrill_entry/_journal.py
@@ -49,14 +49,14 @@
         """Records the answer, or only that the call has run if the body is too large to record."""
         body = answer.body
         if body is None:
-            self._journal.fail(self._attempt, Verdict.RAN)
+            self._journal.record_failure(self._attempt, Verdict.RAN)
             return
         headers = [(name, answer.headers_by_name[name]) for name in _RECORDED_HEADERS if name in answer.headers_by_name]
-        self._journal.succeed(self._attempt, answer.status, json.dumps(headers), body, len(body))
+        self._journal.record_answer(self._attempt, answer.status, json.dumps(headers), body, len(body))
 
     def fail(self, verdict: Verdict) -> None:
         """Records an attempt without an answer; only ``NOT_RUN`` allows another attempt."""
-        self._journal.fail(self._attempt, verdict)
+        self._journal.record_failure(self._attempt, verdict)
 
 
 def _request_digest(request: Request, name: str) -> bytes:
--- a/libs/arbutusrill_entry/tests/rig.py
+++ b/libs/arbutusrill_entry/tests/rig.py
@@ -9,7 +9,7 @@
 from arbutusrill_base import RetryBudget, SystemClock, TaskGroup, hash_key
 from arbutusrill_http import AbortStreamError, HttpLimits, HttpServer, json_response
 from arbutusrill_limits import Limits, TokenLeases
-from arbutusrill_state import ConfigState, JournalClient, VmIdentity, command
+from arbutusrill_state import ConfigState, JournalClient, VmIdentity, make_command
 from arbutusrill_wire import messages
 from werkzeug.wrappers import Request
 
@@ -122,13 +122,13 @@
     def __init__(self):
         self.config = ConfigState()
         self.identity = VmIdentity("entry1", 7, "127.0.0.1:1", "127.0.0.1:2", "dc1")
-        self.is_fresh = True
+        self.state_is_fresh = True
 
-    def fresh(self):
-        return self.is_fresh
+    def is_fresh(self):
+        return self.state_is_fresh
 
     def apply(self, change):
-        assert self.config.apply(command(change, "test", 1)).accepted
+        assert self.config.apply(make_command(change, "test", 1)).accepted
 
 
 class StubPools:
--- a/libs/arbutusrill_entry/tests/test_parse.py
+++ b/libs/arbutusrill_entry/tests/test_parse.py
@@ -87,13 +87,13 @@
 
 
 def test_stale_vm_serves_no_key(rig):
-    rig.follower.is_fresh = False
+    rig.follower.state_is_fresh = False
     try:
         assert_refused(rig.call("POST", CHAT, GOOD), 503, None, "stale")
         assert rig.call("GET", "/readyz")[0] == 503
         assert rig.call("GET", "/healthz")[0] == 200
     finally:
-        rig.follower.is_fresh = True
+        rig.follower.state_is_fresh = True
 
 
 @pytest.mark.parametrize(
--- a/libs/arbutusrill_entry/tests/test_relay.py
+++ b/libs/arbutusrill_entry/tests/test_relay.py
@@ -214,7 +214,7 @@
         elif change == "workspace":
             rig.follower.apply(messages.RemoveWorkspace("dispatch"))
         else:
-            rig.follower.is_fresh = False
+            rig.follower.state_is_fresh = False
         rest = stream.read()
     assert time.monotonic() - changed_at < 5
     assert b'"verdict": "may_have_run"' in rest and b"[DONE]" not in rest and not rest.endswith(b"0\r\n\r\n")
--- a/libs/arbutusrill_entry/tests/test_services.py
+++ b/libs/arbutusrill_entry/tests/test_services.py
@@ -268,7 +268,7 @@
     elif change == "key":
         rig.follower.apply(messages.WithdrawKey("k1"))
     else:
-        rig.follower.is_fresh = False
+        rig.follower.state_is_fresh = False
     time.sleep(0.8)
     assert not [name for name, _ in rig.control.calls if name == "finish_call"]
     service.wait.set()
--- a/libs/arbutusrill_site/_backends.py
+++ b/libs/arbutusrill_site/_backends.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from arbutusrill_base import Clock, EventLog
-from arbutusrill_state import Departures, Roster
+from arbutusrill_state import BackendRoster, Departures
 
 from ._registry import Registry
 
@@ -56,7 +56,7 @@
         silence_timeout_s: float,
         changed: threading.Condition,
         departures: Departures,
-        roster: Roster,
+        roster: BackendRoster,
     ):
         super().__init__(clock, silence_timeout_s, changed)
         self._departures = departures
@@ -103,7 +103,7 @@
         known = self._record_by_id.get(record.id)
         if known is not None and not is_newer(record, known):
             return False
-        if not record.draining and self._departures.covers(record.id, record.started_ms, record.sequence):
+        if not record.draining and self._departures.is_outdated(record.id, record.started_ms, record.sequence):
             return False
         holder = self._record_by_id.get(self._id_by_address.get(record.address, ""))
         return holder is None or holder.id == record.id or record.started_ms > holder.started_ms
--- a/libs/arbutusrill_site/_follower.py
+++ b/libs/arbutusrill_site/_follower.py
@@ -126,7 +126,7 @@
                 self._failures += 1
                 self._set_connected(False, str(error))
                 # All known members may have been replaced during a partition: the seeds are always tried too.
-                self._client.learn(self._seeds())
+                self._client.set_addresses(self._seeds())
                 stopping.wait(_RETRY_DELAY_S)
             except Exception as error:  # data that this software version cannot decode must not end the task
                 _events.emit("view_not_updated", reason=repr(error))
@@ -163,7 +163,7 @@
             self._apply_reply(reply)
         self._meter.learn(report, FleetLevels(reply.available or {}, reply.counted))
         self.view.confirmed_at = sent_at
-        self._client.learn(reply.control or [])
+        self._client.set_addresses(reply.control or [])
 
     def _apply_reply(self, reply: Any) -> None:
         view = self.view
--- a/libs/arbutusrill_site/_membership.py
+++ b/libs/arbutusrill_site/_membership.py
@@ -102,7 +102,7 @@
         """Asks once if this VM is not a voter or knows no leader."""
         status = self._log.status()
         if status.replica in status.voters and status.leader:
-            self._client.learn([address_of(member) for member in [*status.voters, *status.learners]])
+            self._client.set_addresses([address_of(member) for member in [*status.voters, *status.learners]])
             return
         try:
             members = self._client.call("join", status.replica, timeout=_JOIN_TIMEOUT_S, try_timeout=0.5)
@@ -110,6 +110,6 @@
             _events.emit("join_unanswered", reason=str(error))
             # All known members may have been replaced: the seeds are always tried too.
             known = [address_of(member) for member in [*status.voters, *status.learners]]
-            self._client.learn(sorted({*self._seeds(), *known, self._address}))
+            self._client.set_addresses(sorted({*self._seeds(), *known, self._address}))
             return
-        self._client.learn([*members, self._address] if self._address not in members else members)
+        self._client.set_addresses([*members, self._address] if self._address not in members else members)
--- a/libs/arbutusrill_site/_service.py
+++ b/libs/arbutusrill_site/_service.py
@@ -12,7 +12,7 @@
 from arbutusrill_base import Clock, EventLog
 from arbutusrill_limits import FleetBuckets, Limits, SpendReport
 from arbutusrill_raft import LogUnavailableError, NotLeaderError, Replica
-from arbutusrill_state import SharedState, command
+from arbutusrill_state import SharedState, make_command
 from arbutusrill_wire import decode, encode, messages
 
 from ._backends import BackendRegistry
@@ -27,7 +27,7 @@
 _COMMIT_TIMEOUT_S = 2.0
 _CONFIRM_TIMEOUT_S = 1.0
 _MAX_LONG_POLL_S = 2.0
-_MAX_SEQUENCE = 2**62  # a departure with it covers all announcements of a start
+_MAX_SEQUENCE = 2**62  # a departure with it outdates all announcements of a start
 _SAVE_INTERVAL_S_PER_BACKEND = 0.05  # bounds the rate at which a large list is written to the log
 _COALESCING_DELAY_S = 0.005  # batches concurrent changes into one reply
 _events = EventLog("site")
@@ -133,7 +133,7 @@
     def announce_backend(self, record: Any) -> None:
         """Registers an announcement of a backend server; a departure is committed before the reply."""
         self._require_leadership()
-        if record.draining and not self._state.departures.covers(record.id, record.started_ms, 0):
+        if record.draining and not self._state.departures.is_outdated(record.id, record.started_ms, 0):
             self._propose(messages.PutDeparture(record.id, record.started_ms, record.sequence))
         self.backends.announce(record)
         self._confirm_leadership()
@@ -142,7 +142,7 @@
         """Commits the departure of a backend server and drops it; `started_ms` 0 means its latest start."""
         self._require_leadership()
         start = started_ms or self.backends.started_ms_of(backend) or self._clock.wall_ms()
-        if not self._state.departures.covers(backend, start, _MAX_SEQUENCE):
+        if not self._state.departures.is_outdated(backend, start, _MAX_SEQUENCE):
             self._propose(messages.PutDeparture(backend, start, _MAX_SEQUENCE))
         self.backends.remove(backend, start)
         self._confirm_leadership()
@@ -179,7 +179,7 @@
         return outcome.revision
 
     def _propose(self, change: Any) -> Any:
-        encoded = encode(command(change, "site", self._clock.wall_ms()))
+        encoded = encode(make_command(change, "site", self._clock.wall_ms()))
         try:
             return decode(messages.Outcome, self._log.propose(encoded, _COMMIT_TIMEOUT_S))
         except NotLeaderError as error:
--- a/libs/arbutusrill_site/tests/test_backends.py
+++ b/libs/arbutusrill_site/tests/test_backends.py
@@ -4,7 +4,7 @@
 
 import pytest
 from arbutusrill_base import ManualClock
-from arbutusrill_state import Departures, Roster
+from arbutusrill_state import BackendRoster, Departures
 from arbutusrill_wire import messages
 
 from arbutusrill_site import BackendRegistry
@@ -26,7 +26,7 @@
 
 @pytest.fixture()
 def roster():
-    return Roster()
+    return BackendRoster()
 
 
 @pytest.fixture()
--- a/libs/arbutusrill_state/__init__.py
+++ b/libs/arbutusrill_state/__init__.py
@@ -2,7 +2,7 @@
 
 from ._checks import FEATURE_LEVEL, UnsupportedLevelError
 from ._client import ControlClient, ControlUnavailableError
-from ._commands import change_of, command
+from ._commands import change_of, make_command
 from ._config import ConfigState
 from ._defaults import DEFAULT_SPEC_BY_NAME, SCOPE_KINDS, DefaultSpec, parse_value
 from ._departures import Departures
@@ -11,13 +11,14 @@
 from ._journal import Journal
 from ._journal_client import Attempt, JournalClient
 from ._machine import SharedState
-from ._roster import Roster
+from ._roster import BackendRoster
 
 __all__ = [
     "DEFAULT_SPEC_BY_NAME",
     "FEATURE_LEVEL",
     "SCOPE_KINDS",
     "Attempt",
+    "BackendRoster",
     "ConfigState",
     "ControlClient",
     "ControlUnavailableError",
@@ -27,11 +28,10 @@
     "Follower",
     "Journal",
     "JournalClient",
-    "Roster",
     "SharedState",
     "UnsupportedLevelError",
     "VmIdentity",
     "change_of",
-    "command",
+    "make_command",
     "parse_value",
 ]
--- a/libs/arbutusrill_state/_client.py
+++ b/libs/arbutusrill_state/_client.py
@@ -76,7 +76,7 @@
             time.sleep(min(backoff_s(attempt, _MIN_BACKOFF_S, _MAX_BACKOFF_S), max(0.0, deadline - time.monotonic())))
         raise ControlUnavailableError(f"the control group does not answer ({cause})", sent)
 
-    def learn(self, addresses: list[str]) -> None:
+    def set_addresses(self, addresses: list[str]) -> None:
         """Replaces the addresses of the control VMs. An empty list changes nothing; calls in progress continue."""
         addresses = list(dict.fromkeys(addresses))
         with self._lock:
--- a/libs/arbutusrill_state/_commands.py
+++ b/libs/arbutusrill_state/_commands.py
@@ -7,16 +7,16 @@
 from arbutusrill_base import new_request_id
 from arbutusrill_wire import messages
 
-__all__ = ["CHANGE_FIELDS", "JOURNAL_FIELDS", "change_of", "command"]
+__all__ = ["CHANGE_FIELDS", "JOURNAL_FIELDS", "change_of", "make_command"]
 
 CHANGE_FIELDS = tuple(spec[1] for number, spec in messages.Command.thrift_spec.items() if number >= 10)
 JOURNAL_FIELDS = tuple(name for name in CHANGE_FIELDS if name.startswith("journal_"))
 
 
-def command(change: Any, actor: str, at_ms: int, request_id: str | None = None, if_revision: int = -1) -> Any:
+def make_command(change: Any, actor: str, at_ms: int, request_id: str | None = None, if_revision: int = -1) -> Any:
     """Wraps a change struct in a `Command`; a request id is generated unless one is given.
 
-    >>> command_struct = command(messages.SetDefault("limits.rate", "5.0"), "ops", 0, request_id="r")
+    >>> command_struct = make_command(messages.SetDefault("limits.rate", "5.0"), "ops", 0, request_id="r")
     >>> change_of(command_struct)[0]
     'set_default'
     """
--- a/libs/arbutusrill_state/_departures.py
+++ b/libs/arbutusrill_state/_departures.py
@@ -17,7 +17,7 @@
     >>> from arbutusrill_wire import messages
     >>> departures = Departures()
     >>> departures.put(messages.PutDeparture("a", 100, 7))
-    >>> departures.covers("a", 100, 7), departures.covers("a", 100, 8), departures.covers("a", 99, 20)
+    >>> departures.is_outdated("a", 100, 7), departures.is_outdated("a", 100, 8), departures.is_outdated("a", 99, 20)
     (True, False, True)
     """
 
@@ -35,8 +35,8 @@
             while len(self._record_by_id) > _MAX_DEPARTURES:
                 self._record_by_id.popitem(last=False)
 
-    def covers(self, backend: str, started_ms: int, sequence: int) -> bool:
-        """Returns whether an announcement is older than the server's recorded departure or equal to it."""
+    def is_outdated(self, backend: str, started_ms: int, sequence: int) -> bool:
+        """Returns whether an announcement is not newer than the recorded departure of its server."""
         with self._lock:
             recorded = self._record_by_id.get(backend)
             return recorded is not None and (started_ms, sequence) <= (recorded.started_ms, recorded.sequence)
--- a/libs/arbutusrill_state/_follower.py
+++ b/libs/arbutusrill_state/_follower.py
@@ -10,7 +10,7 @@
 from arbutusrill_wire import messages
 
 from ._client import ControlClient, ControlUnavailableError
-from ._commands import command
+from ._commands import make_command
 from ._config import ConfigState
 
 __all__ = ["Follower", "VmIdentity"]
@@ -57,7 +57,7 @@
         """Waits up to `timeout` seconds for the first confirmed state; returns whether there is one."""
         return self._first_confirmed.wait(timeout)
 
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Returns whether the state was confirmed by a quorum in the last `MAX_FRESH_AGE_S` seconds."""
         return self._clock.monotonic() - self._confirmed_at < MAX_FRESH_AGE_S
 
@@ -129,7 +129,7 @@
         for pool in list(self.config.pools_by_name.values()):
             if pool.owner != identity.vm or pool.owner_incarnation != identity.incarnation:
                 continue
-            proposal = command(
+            proposal = make_command(
                 messages.ReleasePool(pool.name, identity.vm, pool.epoch), identity.vm, self._clock.wall_ms()
             )
             try:
--- a/libs/arbutusrill_state/_journal_client.py
+++ b/libs/arbutusrill_state/_journal_client.py
@@ -11,7 +11,7 @@
 from arbutusrill_wire import messages
 
 from ._client import ControlClient, ControlUnavailableError
-from ._commands import command
+from ._commands import make_command
 from ._journal import MAX_IDEMPOTENCY_KEY_CHARACTERS
 
 __all__ = ["Attempt", "JournalClient"]
@@ -74,7 +74,7 @@
             raise FailureError(Failure("bad_idempotency_key", message, status=400, param="Idempotency-Key"))
         begin_id = new_request_id("beg")
         change = messages.JournalBegin(workspace, key, digest, self._vm, self._incarnation)
-        begin_command = command(change, self._vm, self._clock.wall_ms(), begin_id)
+        begin_command = make_command(change, self._vm, self._clock.wall_ms(), begin_id)
         sent_at = self._clock.monotonic()
         try:
             answer = self._control.call("begin_call", begin_command, timeout=_BEGIN_TIMEOUT_S)
@@ -97,14 +97,14 @@
             raise FailureError(Failure("send_too_late", message, status=503, retry_after=1.0))
         attempt.sent = True
 
-    def fail(self, attempt: Attempt, verdict: Verdict) -> None:
+    def record_failure(self, attempt: Attempt, verdict: Verdict) -> None:
         """Records that an attempt ended without an answer, as ``not_run`` only if that is proven."""
         status = {Verdict.NOT_RUN: "not_run", Verdict.RAN: "ran"}.get(verdict, "unknown")
         if not attempt.sent:
             status = "not_run"
         self._finish(attempt, messages.JournalFinish(status=status))
 
-    def succeed(self, attempt: Attempt, status: int, headers_json: str, body: bytes, answer_bytes: int) -> None:
+    def record_answer(self, attempt: Attempt, status: int, headers_json: str, body: bytes, answer_bytes: int) -> None:
         """Records an answer; a body above `answer_bytes` is left out and the call recorded as ``ran``."""
         if len(body) > answer_bytes:
             self._finish(attempt, messages.JournalFinish(status="ran"))
@@ -115,7 +115,7 @@
     def _finish(self, attempt: Attempt, change: Any) -> None:
         change.workspace, change.key, change.begin_id = attempt.workspace, attempt.key, attempt.begin_id
         change.attempt = attempt.answer.attempt
-        finish_command = command(change, self._vm, self._clock.wall_ms())
+        finish_command = make_command(change, self._vm, self._clock.wall_ms())
         if not self._record(_UnrecordedFinish(finish_command, self._clock.monotonic()), _FINISH_TIMEOUT_S):
             self._enqueue(change, finish_command)
 
@@ -124,7 +124,7 @@
             if len(self._unrecorded) >= _MAX_UNRECORDED:
                 _log.warning("outcome of a once-only call dropped, %d are queued already", _MAX_UNRECORDED)
                 return
-            finish_command = finish_command or command(change, self._vm, self._clock.wall_ms())
+            finish_command = finish_command or make_command(change, self._vm, self._clock.wall_ms())
             self._unrecorded.append(_UnrecordedFinish(finish_command, self._clock.monotonic()))
             self._changed.notify_all()
 
--- a/libs/arbutusrill_state/_machine.py
+++ b/libs/arbutusrill_state/_machine.py
@@ -13,7 +13,7 @@
 from ._departures import Departures
 from ._document import Document
 from ._journal import Journal
-from ._roster import Roster
+from ._roster import BackendRoster
 
 __all__ = ["SharedState"]
 
@@ -33,7 +33,7 @@
         self.journal = Journal(self.config)
         self.document = Document()
         self.departures = Departures()
-        self.roster = Roster()
+        self.roster = BackendRoster()
         self._recent_commands: deque[Any] = deque(maxlen=_MAX_RECENT_COMMANDS)
 
     def apply(self, data: bytes) -> bytes:
--- a/libs/arbutusrill_state/_roster.py
+++ b/libs/arbutusrill_state/_roster.py
@@ -5,13 +5,13 @@
 import threading
 from typing import Any
 
-__all__ = ["Roster"]
+__all__ = ["BackendRoster"]
 
 
-class Roster:
+class BackendRoster:
     """List of backend servers from which a new leader starts until the servers announce themselves to it.
 
-    >>> roster = Roster()
+    >>> roster = BackendRoster()
     >>> roster.put(["a", "b"])
     >>> roster.records()
     ['a', 'b']
--- a/libs/arbutusrill_state/tests/test_config.py
+++ b/libs/arbutusrill_state/tests/test_config.py
@@ -5,12 +5,12 @@
 import pytest
 from arbutusrill_wire import decode, encode, messages
 
-from arbutusrill_state import SharedState, UnsupportedLevelError, command, parse_value
+from arbutusrill_state import SharedState, UnsupportedLevelError, make_command, parse_value
 from arbutusrill_state._checks import MAX_ORDERS
 
 
 def apply_change(state, change, request_id, **options):
-    return decode(messages.Outcome, state.apply(encode(command(change, "ops", 5, request_id, **options))))
+    return decode(messages.Outcome, state.apply(encode(make_command(change, "ops", 5, request_id, **options))))
 
 
 @pytest.fixture
@@ -174,10 +174,10 @@
     """Dropping such an order would put the server back into service without a request by an operator."""
     config = SharedState().config
     for state in ("requested", "released", "running", "done"):
-        config.apply(command(messages.PutOrder("drain-d1", "d1", "m", "drain", "{}", state), "ops", 0))
+        config.apply(make_command(messages.PutOrder("drain-d1", "d1", "m", "drain", "{}", state), "ops", 0))
     for number in range(MAX_ORDERS + 5):
         for state in ("requested", "withdrawn"):
-            config.apply(command(messages.PutOrder(f"o{number}", "d2", "m", "unload", "{}", state), "ops", 0))
+            config.apply(make_command(messages.PutOrder(f"o{number}", "d2", "m", "unload", "{}", state), "ops", 0))
     assert len(config.orders_by_id) == MAX_ORDERS
     assert config.orders_by_id["drain-d1"].state == "done"
 
@@ -190,7 +190,7 @@
 
 def test_recorded_backend_servers_are_in_the_snapshot(state):
     record = messages.BackendRecord("b-1", 1, 1, "desk", "10.0.0.1:80", "z1", 6)
-    state.apply(encode(command(messages.PutBackends([record]), "site", 0)))
+    state.apply(encode(make_command(messages.PutBackends([record]), "site", 0)))
     replica = SharedState()
     replica.restore(state.snapshot())
     assert replica.roster.records() == [record]
--- a/libs/arbutusrill_state/tests/test_journal.py
+++ b/libs/arbutusrill_state/tests/test_journal.py
@@ -5,7 +5,7 @@
 import pytest
 from arbutusrill_wire import decode, encode, messages
 
-from arbutusrill_state import SharedState, command
+from arbutusrill_state import SharedState, make_command
 
 
 class Site:
@@ -19,7 +19,7 @@
 
     def apply_change(self, change, request_id=None):
         self.count += 1
-        data = encode(command(change, "t", 0, request_id or f"r{self.count}"))
+        data = encode(make_command(change, "t", 0, request_id or f"r{self.count}"))
         return decode(messages.Outcome, self.state.apply(data))
 
     def vm(self, name, incarnation, state="live"):
--- a/libs/arbutusrill_state/tests/test_journal_client.py
+++ b/libs/arbutusrill_state/tests/test_journal_client.py
@@ -4,7 +4,7 @@
 from arbutusrill_base import FailureError, ManualClock, Verdict
 from arbutusrill_wire import decode, encode, messages
 
-from arbutusrill_state import ControlUnavailableError, JournalClient, SharedState, command
+from arbutusrill_state import ControlUnavailableError, JournalClient, SharedState, make_command
 
 
 class Control:
@@ -12,7 +12,7 @@
 
     def __init__(self):
         self.state = SharedState()
-        self.apply(command(messages.PutVm("v", "a", "b", "", 1, "live"), "t", 0))
+        self.apply(make_command(messages.PutVm("v", "a", "b", "", 1, "live"), "t", 0))
         self.unavailable = False
         self.lose_answers = 0
         self.delayed_begins = []
@@ -55,7 +55,7 @@
     clock.advance(10)
     with pytest.raises(FailureError, match="send_too_late"):
         journal.check_send(attempt, 1e9)
-    journal.fail(attempt, Verdict.MAY_HAVE_RUN)
+    journal.record_failure(attempt, Verdict.MAY_HAVE_RUN)
     assert control.status() == "not_run"  # proven, because nothing was sent
 
 
@@ -69,7 +69,7 @@
 def test_failure_after_the_send_is_not_recorded_as_not_run(journal, control):
     attempt = journal.begin("w", "k", b"d")
     journal.check_send(attempt, 1e9)
-    journal.fail(attempt, Verdict.MAY_HAVE_RUN)
+    journal.record_failure(attempt, Verdict.MAY_HAVE_RUN)
     assert control.status() == "unknown"
 
 
@@ -77,7 +77,7 @@
     attempt = journal.begin("w", "k", b"d")
     journal.check_send(attempt, 1e9)
     control.unavailable = True
-    journal.succeed(attempt, 201, "[]", b"seat 12", 1000)
+    journal.record_answer(attempt, 201, "[]", b"seat 12", 1000)
     assert control.status() == "running" and not journal.retry_finishes()
     control.unavailable = False
     assert journal.retry_finishes() and control.status() == "done"
@@ -106,7 +106,7 @@
 def test_answer_above_the_size_limit_is_not_sent_to_the_journal(journal, control):
     attempt = journal.begin("w", "k", b"d")
     journal.check_send(attempt, 1e9)
-    journal.succeed(attempt, 200, "[]", b"x" * 1001, 1000)
+    journal.record_answer(attempt, 200, "[]", b"x" * 1001, 1000)
     assert control.status() == "ran"
 
 
