--- a/libs/arbutusrill_entry/_services.py
+++ b/libs/arbutusrill_entry/_services.py
@@ -54,7 +54,7 @@
                 )
             finally:
                 if service_call.verdict is Verdict.NOT_RUN:
-                    charge.settle(0)
+                    charge.refund_unused(0)
 
     def _charge(self, requirements: Requirements, caller: socket.socket, guard: KeyGuard) -> Charge:
         config = self._context.follower.config
--- a/libs/arbutusrill_gateway/_gateway.py
+++ b/libs/arbutusrill_gateway/_gateway.py
@@ -10,7 +10,7 @@
 
 from arbutusrill_base import EventLog, FailureError, RetryBudget, Verdict
 from arbutusrill_http import AbortStreamError
-from arbutusrill_limits import FleetMeter
+from arbutusrill_limits import FleetRateLimiter
 from arbutusrill_site import Route, RouteKind, SiteConfiguration, SiteView, Workspace
 
 from ._backends import BackendPool
@@ -44,7 +44,7 @@
         view: SiteView,
         pool: BackendPool,
         placements: PlacementClient,
-        meter: FleetMeter,
+        meter: FleetRateLimiter,
         protocol: BackendProtocol,
         metrics: GatewayMetrics,
         retry_fraction: float,
--- a/libs/arbutusrill_limits/_fleet_buckets.py
+++ b/libs/arbutusrill_limits/_fleet_buckets.py
@@ -31,10 +31,13 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetLevels:
-    """Levels in tokens of the buckets that are not full; `counted` is False until the VM has sent a whole report."""
+    """Levels in tokens of the buckets that are not full.
+
+    `is_reporter_known` is False until the VM has sent a whole report.
+    """
 
     tokens_by_workspace: dict[str, float]
-    counted: bool = True
+    is_reporter_known: bool = True
 
 
 @dataclass(slots=True)
@@ -89,7 +92,7 @@
             counted_totals = self._spent_by_reporter.get((vm, incarnation))
             if counted_totals is None:
                 if not report.whole:
-                    return FleetLevels({}, counted=False)
+                    return FleetLevels({}, is_reporter_known=False)
                 self._spent_by_reporter[vm, incarnation] = dict(report.spent)
                 self._restore_levels(report, now)
                 return self._levels(now)
@@ -150,12 +153,12 @@
             del self._level_by_workspace[workspace]
         return FleetLevels(levels)
 
-    def forget(self, vm: str, incarnation: int) -> None:
+    def drop_reporter(self, vm: str, incarnation: int) -> None:
         """Drops the reported totals of an entry VM, which then has to send a whole report."""
         with self._lock:
             self._spent_by_reporter.pop((vm, incarnation), None)
 
-    def reset(self) -> None:
+    def clear(self) -> None:
         """Drops all levels and reported totals when this VM becomes the leader."""
         with self._lock:
             self._level_by_workspace.clear()
--- a/libs/arbutusrill_limits/_fleet_meter.py
+++ b/libs/arbutusrill_limits/_fleet_meter.py
@@ -18,7 +18,7 @@
 from ._bucket import Limits
 from ._fleet_buckets import FleetLevels, Level, SpendReport
 
-__all__ = ["FleetMeter", "RateAuthority", "RateAuthorityLostError", "RateDecision"]
+__all__ = ["FleetRateLimiter", "RateAuthority", "RateAuthorityUnavailableError", "RateDecision"]
 
 _MAX_LEVEL_AGE_S = 1.0  # older levels are not used
 _MIN_LOCAL_LEVEL_FRACTION = 0.5  # of the bucket; above it, a VM spends first and reports later
@@ -26,7 +26,7 @@
 _MAX_CACHED_REFUSAL_S = 0.25  # time for which a refusal by the leader is repeated without asking it
 
 
-class RateAuthorityLostError(Exception):
+class RateAuthorityUnavailableError(Exception):
     """Raised when the leader did not reply or has not received a whole report of this VM."""
 
 
@@ -37,7 +37,7 @@
     def charge(self, workspace: str, tokens: float) -> float:
         """Deducts `tokens` and returns 0, or returns the seconds until enough tokens will have accrued.
 
-        Raises `RateAuthorityLostError`.
+        Raises `RateAuthorityUnavailableError`.
         """
 
 
@@ -65,7 +65,7 @@
     refused_tokens: float = math.inf  # smallest refused request
 
 
-class FleetMeter:
+class FleetRateLimiter:
     """Decides whether a request is within its workspace's rate.
 
     `entry_count` returns the number of entry VMs that share the rates. `slack` is the configured number of tokens by
@@ -101,7 +101,7 @@
         if not leader_lost:
             try:
                 wait_s = self._authority.charge(workspace, tokens)
-            except RateAuthorityLostError:
+            except RateAuthorityUnavailableError:
                 with self._lock:
                     self._leader_lost_until = self._clock.monotonic() + _LEADER_RETRY_PAUSE_S
             else:
@@ -192,11 +192,11 @@
                 },
             )
 
-    def learn(self, report: SpendReport, levels: FleetLevels) -> None:
+    def apply_levels(self, report: SpendReport, levels: FleetLevels) -> None:
         """Applies the reply to `report`; buckets that are missing in `levels` are full."""
         with self._lock:
-            self._whole_report_due = not levels.counted
-            if not levels.counted:
+            self._whole_report_due = not levels.is_reporter_known
+            if not levels.is_reporter_known:
                 return
             self._levels = levels.tokens_by_workspace
             self._levels_received_at = self._clock.monotonic()
--- a/libs/arbutusrill_limits/_leases.py
+++ b/libs/arbutusrill_limits/_leases.py
@@ -165,7 +165,7 @@
     def _run_exchanges(self, tasks: TaskGroup) -> None:
         while not tasks.stopping.is_set():
             try:
-                sent = self.step()
+                sent = self.exchange_once()
             except Exception as error:
                 _log.warning("token exchange with the rate owner failed: %s", error)
                 tasks.stopping.wait(_RETURN_INTERVAL_S)
@@ -185,15 +185,15 @@
                 pause = min(pause, _RETURN_INTERVAL_S)
         return pause
 
-    def step(self) -> bool:
+    def exchange_once(self) -> bool:
         """Does one exchange with the owner if tokens are wanted or to be returned; returns whether it did.
 
         Propagates exceptions of `send`; the next call then resends the same request.
         """
         with self._exchange_lock:
-            return self._step()
+            return self._exchange_once()
 
-    def _step(self) -> bool:
+    def _exchange_once(self) -> bool:
         with self._lock:
             if self._pending is None:
                 items = self._grant_items(self._clock.monotonic())
@@ -253,7 +253,7 @@
                     held.add_return(grant.epoch, grant.issued_us, grant.tokens)
         while self._clock.monotonic() < deadline:
             try:
-                if not self.step():
+                if not self.exchange_once():
                     return
             except Exception as error:
                 _log.warning("cannot return unspent tokens to the rate owner: %s", error)
@@ -264,17 +264,17 @@
     """Context manager that pays tokens for one request on entry and refunds the unused ones on exit.
 
     `used` is the number of tokens kept on exit, initially all. If the context exits with a `FailureError` whose verdict
-    is ``NOT_RUN``, everything is refunded. `settle` refunds before the exit.
+    is ``NOT_RUN``, everything is refunded. `refund_unused` refunds before the exit.
     """
 
-    __slots__ = ("_leases", "_parts", "_settled", "deadline", "is_caller_gone", "tokens", "used", "workspace")
+    __slots__ = ("_leases", "_parts", "_refunded", "deadline", "is_caller_gone", "tokens", "used", "workspace")
 
     def __init__(
         self, leases: TokenLeases, workspace: str, tokens: float, deadline: float, is_caller_gone: Callable[[], bool]
     ):
         self._leases = leases
         self._parts: list[tuple[HeldGrant, float]] = []
-        self._settled = False
+        self._refunded = False
         self.workspace = workspace
         self.tokens = tokens
         self.used = tokens
@@ -285,12 +285,12 @@
         self._parts = self._leases._pay(self)
         return self
 
-    def settle(self, used: float) -> None:
+    def refund_unused(self, used: float) -> None:
         """Refunds the tokens above `used`, once; use beyond the charged tokens is not charged."""
-        if not self._settled:
-            self._settled = True
+        if not self._refunded:
+            self._refunded = True
             self._leases.refund_unused(self, self._parts, self.tokens - max(0.0, used))
 
     def __exit__(self, kind: object, error: object, _: object) -> None:
         not_run = isinstance(error, FailureError) and error.failure.verdict is Verdict.NOT_RUN
-        self.settle(0.0 if not_run else self.used)
+        self.refund_unused(0.0 if not_run else self.used)
--- a/libs/arbutusrill_limits/tests/test_bound.py
+++ b/libs/arbutusrill_limits/tests/test_bound.py
@@ -65,7 +65,7 @@
 
     def step(self, vm):
         try:
-            vm.step()
+            vm.exchange_once()
         except MessageLostError:
             pass
 
@@ -79,7 +79,7 @@
             with vm.charge("a", tokens, self.clock.monotonic() + wait_s, poll) as charge:
                 self.used.append((self.clock.monotonic(), used))
                 self.clock.advance(hold_s)
-                charge.settle(used)
+                charge.refund_unused(used)
         except FailureError:
             self.refused += 1
 
--- a/libs/arbutusrill_limits/tests/test_fleet.py
+++ b/libs/arbutusrill_limits/tests/test_fleet.py
@@ -5,7 +5,14 @@
 import pytest
 from arbutusrill_base import ManualClock
 
-from arbutusrill_limits import FleetBuckets, FleetMeter, Limits, RateAuthority, RateAuthorityLostError, SpendReport
+from arbutusrill_limits import (
+    FleetBuckets,
+    FleetRateLimiter,
+    Limits,
+    RateAuthority,
+    RateAuthorityUnavailableError,
+    SpendReport,
+)
 
 LIMITS = Limits(10.0, 100.0)
 
@@ -18,26 +25,26 @@
         self.charge_calls = 0
 
     def restart(self):
-        self.buckets.reset()
+        self.buckets.clear()
 
 
 class EntryVm(RateAuthority):
     """One entry VM that polls the leader as its follower does."""
 
     def __init__(self, leader, name="vm-1", count=1, slack=0.0):
-        self.meter = FleetMeter(leader.clock, self, lambda: count, slack)
+        self.meter = FleetRateLimiter(leader.clock, self, lambda: count, slack)
         self.leader, self.name = leader, name
 
     def charge(self, workspace, tokens):
         self.leader.charge_calls += 1
         wait_s = None if self.leader.is_unreachable else self.leader.buckets.charge(self.name, 1, workspace, tokens)
         if wait_s is None:
-            raise RateAuthorityLostError("no answer")
+            raise RateAuthorityUnavailableError("no answer")
         return wait_s
 
     def poll(self):
         report = self.meter.report()
-        self.meter.learn(report, self.leader.buckets.report(self.name, 1, report))
+        self.meter.apply_levels(report, self.leader.buckets.report(self.name, 1, report))
 
     def admit(self, tokens):
         """Returns None if the request is admitted, else its wait in seconds."""
@@ -115,7 +122,7 @@
     entry, other = EntryVm(leader), EntryVm(leader, "vm-2")
     entry.poll()
     other.poll()
-    leader.buckets.forget("vm-1", 1)
+    leader.buckets.drop_reporter("vm-1", 1)
     entry.poll()
     entry.poll()
     assert entry.admit(40.0) is None
@@ -125,9 +132,9 @@
 
 def test_partial_report_before_a_whole_one_charges_nothing(leader):
     answer = leader.buckets.report("vm-1", 1, SpendReport({"clinic": 500.0}))
-    assert answer.tokens_by_workspace == {} and not answer.counted
+    assert answer.tokens_by_workspace == {} and not answer.is_reporter_known
     answer = leader.buckets.report("vm-1", 1, SpendReport({"clinic": 500.0, "desk": 900.0}, True))
-    assert answer.tokens_by_workspace == {} and answer.counted
+    assert answer.tokens_by_workspace == {} and answer.is_reporter_known
     answer = leader.buckets.report("vm-1", 1, SpendReport({"clinic": 530.0}))
     assert answer.tokens_by_workspace == {"clinic": 70.0}
 
--- a/libs/arbutusrill_site/_follower.py
+++ b/libs/arbutusrill_site/_follower.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from arbutusrill_base import Clock, EventLog, TaskGroup
-from arbutusrill_limits import FleetLevels, FleetMeter
+from arbutusrill_limits import FleetLevels, FleetRateLimiter
 from arbutusrill_state import ControlClient, ControlUnavailableError
 from arbutusrill_wire import messages
 
@@ -72,7 +72,7 @@
         incarnation: int,
         client: ControlClient,
         clock: Clock,
-        meter: FleetMeter,
+        meter: FleetRateLimiter,
         decode: Callable[[bytes], Any],
         uses: Callable[[], list[Any]],
         places: Callable[[], list[Any]],
@@ -161,7 +161,7 @@
         reply = self._client.call("follow_site", request, timeout=_CALL_TIMEOUT_S, try_timeout=wait_ms / 1000 + 0.35)
         with self._state_lock:
             self._apply_reply(reply)
-        self._meter.learn(report, FleetLevels(reply.available or {}, reply.counted))
+        self._meter.apply_levels(report, FleetLevels(reply.available or {}, reply.counted))
         self.view.confirmed_at = sent_at
         self._client.set_addresses(reply.control or [])
 
--- a/libs/arbutusrill_site/_rates.py
+++ b/libs/arbutusrill_site/_rates.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from arbutusrill_limits import RateAuthority, RateAuthorityLostError
+from arbutusrill_limits import RateAuthority, RateAuthorityUnavailableError
 from arbutusrill_state import ControlClient, ControlUnavailableError
 from arbutusrill_wire import messages
 
@@ -12,7 +12,7 @@
 
 
 class LeaderRates(RateAuthority):
-    """Charges the bucket of a workspace at the leader; raises `RateAuthorityLostError` if that fails."""
+    """Charges the bucket of a workspace at the leader; raises `RateAuthorityUnavailableError` if that fails."""
 
     def __init__(self, vm: str, incarnation: int, client: ControlClient):
         self._vm = vm
@@ -25,4 +25,4 @@
         try:
             return self._client.call("charge_tokens", charge, timeout=_CALL_TIMEOUT_S, try_timeout=_CALL_TIMEOUT_S)
         except (ControlUnavailableError, messages.Refused) as error:
-            raise RateAuthorityLostError(str(error)) from None
+            raise RateAuthorityUnavailableError(str(error)) from None
--- a/libs/arbutusrill_site/_service.py
+++ b/libs/arbutusrill_site/_service.py
@@ -113,7 +113,7 @@
             self.entries.uses_of_others(request.entry.id),
             self._group_keeper.addresses(),
             None if knows_backends else self._state.departures.records(),
-            levels.counted,
+            levels.is_reporter_known,
         )
 
     def _wait_for_change(self, request: Any, term: int) -> bool:
@@ -205,7 +205,7 @@
             return
         self.backends.expire()
         for entry, incarnation in self.entries.expire():
-            self._buckets.forget(entry, incarnation)
+            self._buckets.drop_reporter(entry, incarnation)
             self.places.free_places_of(entry, incarnation)
 
     def save_backends(self) -> None:
@@ -242,7 +242,7 @@
                 self.backends.begin_term()
                 self.backends.restore_roster()
                 self.entries.begin_term()
-                self._buckets.reset()
+                self._buckets.clear()
                 self.places.begin_term(term)
                 _events.emit("leadership_began", term=term, document=self._state.document.version)
             elif term is None and self._term is not None:
