--- a/libs/arbutusrill_entry/_pool_clients.py
+++ b/libs/arbutusrill_entry/_pool_clients.py
@@ -56,7 +56,7 @@
 
     def announce(self, announcement: Any) -> None:
         """Forwards an announcement to the owner of each of its pools, and opens pools that have no owner."""
-        self._directory.saw(announcement)
+        self._directory.record_announcement(announcement)
         kind = "service" if announcement.role == "plain" else "model"
         with self._lock:
             self._pools_by_server.pop(announcement.id, None)
--- a/libs/arbutusrill_pool/_directory.py
+++ b/libs/arbutusrill_pool/_directory.py
@@ -129,7 +129,7 @@
     def _is_dead(self, vm: str, incarnation: int) -> bool:
         return (vm, incarnation) in self._died_at
 
-    def saw(self, announcement: Any) -> None:
+    def record_announcement(self, announcement: Any) -> None:
         """Records the announcement of a runner to this VM, whoever owns the runner's pools.
 
         When a VM ends, each VM cancels that VM's requests on the runners that announce themselves to it. That frees
--- a/libs/arbutusrill_pool/tests/test_failures.py
+++ b/libs/arbutusrill_pool/tests/test_failures.py
@@ -178,7 +178,7 @@
     engines = FakeEngines()
     engines.requests_by_address["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("alive", "vm3", 8)]
     directory = directory_with(engines)
-    directory.saw(announcement("d"))
+    directory.record_announcement(announcement("d"))
     directory.reconcile([], [vm("vm1", 7), vm("vm3", 8)])
     directory.reconcile([], [vm("vm1", 7, "dead"), vm("vm3", 8)])
     try:
@@ -195,7 +195,7 @@
     directory = directory_with(engines)
     directory.reconcile([], [vm("vm1", 7), vm("vm3", 8)])
     directory.reconcile([], [vm("vm1", 7, "dead"), vm("vm3", 8)])
-    directory.saw(announcement("d"))
+    directory.record_announcement(announcement("d"))
     try:
         assert wait_until(lambda: engines.cancelled)
         assert engines.cancelled == [("http://d", "lost")]
@@ -207,7 +207,7 @@
     engines = FakeEngines()
     engines.requests_by_address["http://d"] = [EngineRequest("lost", "vm1", 7), EngineRequest("new", "vm1", 9)]
     directory = directory_with(engines)
-    directory.saw(announcement("d"))
+    directory.record_announcement(announcement("d"))
     directory.reconcile([], [vm("vm1", 7)])
     directory.reconcile([], [vm("vm1", 9)])
     try:
