--- a/libs/arbutusrill_gateway/_stream.py
+++ b/libs/arbutusrill_gateway/_stream.py
@@ -214,7 +214,7 @@
         engine = exchange.service.engine
         if engine is None or _resume_point(exchange, self._events):
             return None
-        if self._kv_cache is not None and time.monotonic() - self._prefilled_at < engine.handle_s:
+        if self._kv_cache is not None and time.monotonic() - self._prefilled_at < engine.kv_cache_ttl_s:
             return self._kv_cache
         if self._prefill_count and not exchange.budget.try_acquire():
             return None
--- a/libs/arbutusrill_site/__init__.py
+++ b/libs/arbutusrill_site/__init__.py
@@ -22,11 +22,11 @@
 from ._directory import EntryDirectory
 from ._entries import EntryRegistry
 from ._follower import SiteFollower, SiteView
-from ._membership import GroupKeeper, Joiner
+from ._membership import GroupJoinClient, MembershipManager
 from ._places import PlaceLedger
-from ._rates import LeaderRates
-from ._service import SiteLimits, SiteService
-from ._stages import EngineRegistry, EngineStatistics, OrderAnswer, StageKeeper, StageOrders
+from ._rates import LeaderRateAuthority
+from ._service import SilenceTimeouts, SiteService
+from ._stages import EngineRegistry, EngineStatistics, OrderAnswer, StageBalancer, StageOrderTransport
 
 __all__ = [  # noqa: F822
     "BackendRegistry",
@@ -37,22 +37,22 @@
     "EngineStatistics",
     "EntryDirectory",
     "EntryRegistry",
-    "GroupKeeper",
-    "Joiner",
-    "LeaderRates",
+    "GroupJoinClient",
+    "LeaderRateAuthority",
+    "MembershipManager",
     "OrderAnswer",
     "PlaceLedger",
     "Route",
     "RouteKind",
     "Service",
+    "SilenceTimeouts",
     "SiteConfiguration",
     "SiteFollower",
-    "SiteLimits",
     "SiteMetrics",
     "SiteService",
     "SiteView",
-    "StageKeeper",
-    "StageOrders",
+    "StageBalancer",
+    "StageOrderTransport",
     "Target",
     "Workspace",
     "is_newer",
--- a/libs/arbutusrill_site/_configuration.py
+++ b/libs/arbutusrill_site/_configuration.py
@@ -29,7 +29,7 @@
     """Retry semantics of the requests of a route; see `Route.repeatable`."""
 
     IDEMPOTENT = "idempotent"
-    ONCE = "once"
+    NON_IDEMPOTENT = "once"
     STREAM = "stream"
 
 
@@ -77,11 +77,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Engine:
-    """Capacity of each model engine of a service: `kv_tokens` of KV cache, whose handles expire after `handle_s`."""
+    """Capacity of each model engine of a service.
+
+    `kv_tokens` is the size of its KV cache, whose handles expire after `kv_cache_ttl_s` seconds.
+    """
 
     slots: int
     kv_tokens: int
-    handle_s: float
+    kv_cache_ttl_s: float
 
 
 @dataclass(slots=True, frozen=True)
--- a/libs/arbutusrill_site/_membership.py
+++ b/libs/arbutusrill_site/_membership.py
@@ -10,7 +10,7 @@
 from arbutusrill_state import ControlClient, ControlUnavailableError
 from arbutusrill_wire import messages
 
-__all__ = ["GroupKeeper", "Joiner"]
+__all__ = ["GroupJoinClient", "MembershipManager"]
 
 _VOTER_TIMEOUT_S = 3.0  # a voter silent for longer may be replaced by a VM that asks to join
 _JOIN_REQUEST_TTL_S = 3.0  # validity of a request to join
@@ -19,7 +19,7 @@
 _events = EventLog("group")
 
 
-class GroupKeeper:
+class MembershipManager:
     """On the leader, fills the group up to `size` voters from the VMs that ask to join, one change at a time.
 
     A VM that asks from the address of a member but has a new disk replaces that member. A silent voter is replaced only
@@ -89,7 +89,7 @@
         _events.emit("voter_replaced", old=old, new=added, reason=reason)
 
 
-class Joiner:
+class GroupJoinClient:
     """On each control VM, asks to join the group while the VM is not a member."""
 
     def __init__(self, log: Replica, address: str, client: ControlClient, seeds: Callable[[], list[str]]):
--- a/libs/arbutusrill_site/_metrics.py
+++ b/libs/arbutusrill_site/_metrics.py
@@ -35,7 +35,7 @@
         )
         self._registry.register(self)
 
-    def called(self, method: str, outcome: str, took_s: float) -> None:
+    def record_call(self, method: str, outcome: str, took_s: float) -> None:
         """Records a call and its duration; `outcome` is ``ok``, ``refused`` or ``failed``."""
         self._calls.labels(method, outcome).inc()
         self._call_seconds.labels(method).observe(took_s)
--- a/libs/arbutusrill_site/_rates.py
+++ b/libs/arbutusrill_site/_rates.py
@@ -6,12 +6,12 @@
 from arbutusrill_state import ControlClient, ControlUnavailableError
 from arbutusrill_wire import messages
 
-__all__ = ["LeaderRates"]
+__all__ = ["LeaderRateAuthority"]
 
 _CALL_TIMEOUT_S = 0.15  # longest delay of a request; after it this VM decides by its own share of the rate
 
 
-class LeaderRates(RateAuthority):
+class LeaderRateAuthority(RateAuthority):
     """Charges the bucket of a workspace at the leader; raises `RateAuthorityUnavailableError` if that fails."""
 
     def __init__(self, vm: str, incarnation: int, client: ControlClient):
--- a/libs/arbutusrill_site/_service.py
+++ b/libs/arbutusrill_site/_service.py
@@ -18,11 +18,11 @@
 from ._backends import BackendRegistry
 from ._configuration import Engine, SiteConfiguration
 from ._entries import EntryRegistry
-from ._membership import GroupKeeper
+from ._membership import MembershipManager
 from ._places import PlaceLedger
-from ._stages import EngineRegistry, EngineStatistics, StageKeeper
+from ._stages import EngineRegistry, EngineStatistics, StageBalancer
 
-__all__ = ["SiteLimits", "SiteService"]
+__all__ = ["SilenceTimeouts", "SiteService"]
 
 _COMMIT_TIMEOUT_S = 2.0
 _CONFIRM_TIMEOUT_S = 1.0
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SiteLimits:
+class SilenceTimeouts:
     """Seconds without an announcement or a poll after which a backend server or an entry VM is dropped."""
 
     backend_timeout_s: float = 6.0
@@ -44,7 +44,7 @@
 class SiteService:
     """Implements the IDL's `Site` service. Only the leader serves calls; other control VMs refuse them and name it.
 
-    `decode_document` decodes the body of a configuration document. `make_stage_keeper` builds the keeper from the
+    `decode_document` decodes the body of a configuration document. `make_stage_balancer` builds the balancer from the
     registry of engines and the statistics of their work. `rate_slack` is the number of tokens by which a workspace may
     briefly exceed its bucket.
     """
@@ -55,10 +55,10 @@
         state: SharedState,
         changed: threading.Condition,
         clock: Clock,
-        limits: SiteLimits,
+        timeouts: SilenceTimeouts,
         decode_document: Callable[[bytes], SiteConfiguration],
-        group_keeper: GroupKeeper,
-        make_stage_keeper: Callable[[EngineRegistry, EngineStatistics], StageKeeper],
+        membership_manager: MembershipManager,
+        make_stage_balancer: Callable[[EngineRegistry, EngineStatistics], StageBalancer],
         rate_slack: float,
     ):
         self._log = log
@@ -66,12 +66,12 @@
         self._changed = changed
         self._clock = clock
         self._decode_document = decode_document
-        self._group_keeper = group_keeper
-        self.backends = BackendRegistry(clock, limits.backend_timeout_s, changed, state.departures, state.roster)
-        self.entries = EntryRegistry(clock, limits.entry_timeout_s, changed)
+        self._membership_manager = membership_manager
+        self.backends = BackendRegistry(clock, timeouts.backend_timeout_s, changed, state.departures, state.roster)
+        self.entries = EntryRegistry(clock, timeouts.entry_timeout_s, changed)
         self._buckets = FleetBuckets(self._limits_of, clock, rate_slack)
         self.places = PlaceLedger(clock, self.backends.records, self._engine_of, lambda: self.backends.complete)
-        self.stage_keeper = make_stage_keeper(_SiteEngineRegistry(self), self.places.speeds)
+        self.stage_balancer = make_stage_balancer(_SiteEngineRegistry(self), self.places.speeds)
         self._decoded_document: tuple[int, SiteConfiguration | None] = (0, None)
         self._term: int | None = None
         self._term_lock = threading.Lock()
@@ -111,7 +111,7 @@
             self.entries.complete,
             levels.tokens_by_workspace,
             self.entries.uses_of_others(request.entry.id),
-            self._group_keeper.addresses(),
+            self._membership_manager.addresses(),
             None if knows_backends else self._state.departures.records(),
             levels.is_reporter_known,
         )
@@ -196,8 +196,8 @@
     def join(self, member: str) -> list[str]:
         """Records that the control VM with the ID `member` wants to join the group; returns the members' addresses."""
         self._require_leadership()
-        self._group_keeper.record_join_request(member)
-        return self._group_keeper.addresses()
+        self._membership_manager.record_join_request(member)
+        return self._membership_manager.addresses()
 
     def tick(self) -> None:
         """Follows the term of the log, and drops backend servers and entry VMs that time out."""
@@ -232,7 +232,7 @@
 
     def balance(self) -> None:
         """Balances prefill and decode engines; blocks while an engine answers an order."""
-        self.stage_keeper.tick(self._term if self._log.is_leader() else None)
+        self.stage_balancer.tick(self._term if self._log.is_leader() else None)
 
     def _update_term(self) -> bool:
         """Resets the soft state at the start of a term as leader; returns whether this VM leads."""
@@ -282,7 +282,7 @@
 
 
 class _SiteEngineRegistry(EngineRegistry):
-    """Gives the `StageKeeper` access to the backend servers of a `SiteService`."""
+    """Gives the `StageBalancer` access to the backend servers of a `SiteService`."""
 
     def __init__(self, service: SiteService):
         self._service = service
--- a/libs/arbutusrill_site/_stages.py
+++ b/libs/arbutusrill_site/_stages.py
@@ -9,7 +9,7 @@
 
 from arbutusrill_base import Clock, EventLog
 
-__all__ = ["EngineRegistry", "EngineStatistics", "OrderAnswer", "StageKeeper", "StageOrders"]
+__all__ = ["EngineRegistry", "EngineStatistics", "OrderAnswer", "StageBalancer", "StageOrderTransport"]
 
 _CAPACITY_MARGIN_FACTOR = 1.2  # prefill capacity over demand, as headroom for short peaks
 _ASSUMED_PREFILL_FRACTION = 0.18  # of the engine time of a service, before its first request
@@ -34,7 +34,7 @@
     UNKNOWN = "unknown"  # no answer; the engine may still carry out the order
 
 
-class StageOrders(abc.ABC):
+class StageOrderTransport(abc.ABC):
     """Transport of orders to engines."""
 
     @abc.abstractmethod
@@ -66,7 +66,7 @@
         """Returns the speed of an engine as a multiple of a nominal one; None before enough samples."""
 
 
-class StageKeeper:
+class StageBalancer:
     """On the leader, keeps the share of prefill capacity near the share of prefill in the work of each service.
 
     Only the leader sends orders, with fencing tokens that contain its term. A new leader first waits for the
@@ -78,7 +78,7 @@
         vm: str,
         clock: Clock,
         lease_s: float,
-        orders: StageOrders,
+        orders: StageOrderTransport,
         engines: EngineRegistry,
         statistics: EngineStatistics,
     ):
--- a/libs/arbutusrill_site/tests/test_stages.py
+++ b/libs/arbutusrill_site/tests/test_stages.py
@@ -3,10 +3,10 @@
 from arbutusrill_base import ManualClock
 from arbutusrill_wire import messages
 
-from arbutusrill_site import EngineRegistry, EngineStatistics, OrderAnswer, StageKeeper, StageOrders
+from arbutusrill_site import EngineRegistry, EngineStatistics, OrderAnswer, StageBalancer, StageOrderTransport
 
 
-class Orders(StageOrders):
+class Orders(StageOrderTransport):
     def __init__(self, answer=OrderAnswer.ACCEPTED):
         self.answer = answer
         self.sent = []
@@ -49,15 +49,15 @@
     return [messages.BackendRecord(name, 1, 1, "model", "", "z1", 8, False, stage, []) for name, stage in names]
 
 
-def keeper(orders, records, work=None):
+def make_balancer(orders, records, work=None):
     clock = ManualClock()
     register = records if isinstance(records, EngineRegistry) else Engines(records)
-    return clock, StageKeeper("vm-1", clock, 3.0, orders, register, work or Work())
+    return clock, StageBalancer("vm-1", clock, 3.0, orders, register, work or Work())
 
 
 def test_new_leader_waits_for_the_order_lease_before_its_first_order():
     orders = Orders()
-    clock, stages = keeper(orders, engines(4, 5))
+    clock, stages = make_balancer(orders, engines(4, 5))
     stages.tick(7)
     clock.advance(2.9)
     stages.tick(7)
@@ -69,7 +69,7 @@
 
 def test_fencing_tokens_increase_with_term_and_order():
     orders = Orders()
-    clock, stages = keeper(orders, engines(4, 5))
+    clock, stages = make_balancer(orders, engines(4, 5))
     for term in (7, 8):
         stages.tick(term)
         for _ in range(4):
@@ -81,7 +81,7 @@
 
 def test_fenced_leader_sends_no_further_order():
     orders = Orders(OrderAnswer.FENCED)
-    clock, stages = keeper(orders, engines(4, 5))
+    clock, stages = make_balancer(orders, engines(4, 5))
     stages.tick(7)
     for _ in range(5):
         clock.advance(10)
@@ -91,7 +91,7 @@
 
 def test_fastest_surplus_prefill_engine_is_switched():
     orders, records = Orders(), engines(4, 5)
-    clock, stages = keeper(orders, records, Work(0.1, {"p2": 2.0}))
+    clock, stages = make_balancer(orders, records, Work(0.1, {"p2": 2.0}))
     stages.tick(7)
     clock.advance(10)
     stages.tick(7)
@@ -102,7 +102,7 @@
 def test_no_order_for_balanced_small_or_unmeasured_services():
     for records, work in ((engines(2, 7), Work(0.2)), (engines(2, 1), Work()), (engines(4, 5), Work(None))):
         orders = Orders()
-        clock, stages = keeper(orders, records, work)
+        clock, stages = make_balancer(orders, records, work)
         stages.tick(7)
         clock.advance(10)
         stages.tick(7)
@@ -116,7 +116,7 @@
             return None
 
     orders = Orders()
-    clock, stages = keeper(orders, engines(4, 5), Unused(None))
+    clock, stages = make_balancer(orders, engines(4, 5), Unused(None))
     stages.tick(7)
     for _ in range(7):
         clock.advance(2)
@@ -130,7 +130,7 @@
             return 1.0 if stage == "prefill" else None
 
     orders = Orders()
-    clock, stages = keeper(orders, engines(4, 5), PartlyMeasured())
+    clock, stages = make_balancer(orders, engines(4, 5), PartlyMeasured())
     stages.tick(7)
     clock.advance(5)
     stages.tick(7)
@@ -146,7 +146,7 @@
             return {"p0": 2.0, "p1": 1.0, "p2": 1.0}.get(backend)
 
     orders = Orders()
-    clock, stages = keeper(orders, engines(4, 5), PartlyMeasured(0.15))
+    clock, stages = make_balancer(orders, engines(4, 5), PartlyMeasured(0.15))
     stages.tick(7)
     for _ in range(4):
         clock.advance(3)
@@ -160,7 +160,7 @@
             return 1.0 if stage == "prefill" else None
 
     orders = Orders()
-    clock, stages = keeper(orders, engines(1, 8), PartlyMeasured(0.9))
+    clock, stages = make_balancer(orders, engines(1, 8), PartlyMeasured(0.9))
     stages.tick(7)
     clock.advance(10)
     stages.tick(7)
@@ -171,7 +171,7 @@
     records = engines(3, 6)
     records[0].ordered_stage = "decode"
     orders = Orders()
-    clock, stages = keeper(orders, records, Work(0.2))
+    clock, stages = make_balancer(orders, records, Work(0.2))
     stages.tick(8)
     clock.advance(10)
     stages.tick(8)
@@ -181,7 +181,7 @@
 def test_order_that_cannot_be_committed_is_not_sent():
     # Otherwise the next leader would use an engine that is about to change its stage.
     register, orders = Engines(engines(4, 5), durable=False), Orders()
-    clock, stages = keeper(orders, register)
+    clock, stages = make_balancer(orders, register)
     stages.tick(7)
     clock.advance(10)
     stages.tick(7)
@@ -191,13 +191,13 @@
 
 def test_order_without_effect_times_out_and_a_refused_one_is_removed_at_once():
     records = engines(4, 5)
-    clock, stages = keeper(Orders(OrderAnswer.REFUSED), records)
+    clock, stages = make_balancer(Orders(OrderAnswer.REFUSED), records)
     stages.tick(7)
     clock.advance(10)
     stages.tick(7)
     assert not any(record.ordered_stage for record in records)
     records[0].ordered_stage = "decode"
-    clock, stages = keeper(Orders(), records, Work(None))
+    clock, stages = make_balancer(Orders(), records, Work(None))
     for _ in range(4):
         stages.tick(8)
         clock.advance(10)
