--- a/libs/arbutusrill_bench/state_cost.py
+++ b/libs/arbutusrill_bench/state_cost.py
@@ -14,7 +14,7 @@
 
 import typer
 from arbutusrill_base import SystemClock
-from arbutusrill_control import ControlService, SharedMachine
+from arbutusrill_control import ControlService, SharedStateMachine
 from arbutusrill_limits import GrantOwner, Limits
 from arbutusrill_raft import LocalLog
 from arbutusrill_state import SharedState, make_command
@@ -61,7 +61,7 @@
 
         per_s, cpu = _measure_rate(call)
         print(f"grant, {items} workspaces in a request: {per_s:,.0f} calls/s, {cpu:.1f} us of processor time each")
-    machine = SharedMachine()
+    machine = SharedStateMachine()
     service = ControlService(LocalLog(machine), machine, SystemClock())
     service.propose(make_command(messages.PutWorkspace("w", 1e9, 1e9), "ops", 1))
     with RpcServer("127.0.0.1", 0, {messages.Control: service}) as server, RpcClient(server.address) as client:
@@ -90,7 +90,7 @@
 
 
 def _print_follow_cost(followers: int, seconds: float) -> None:
-    machine = SharedMachine()
+    machine = SharedStateMachine()
     service = ControlService(LocalLog(machine), machine, SystemClock())
     service.tick()
     stopping = threading.Event()
--- a/libs/arbutusrill_control/__init__.py
+++ b/libs/arbutusrill_control/__init__.py
@@ -11,12 +11,12 @@
 _MODULE_BY_NAME = {
     "ControlService": "_service",
     "OperatorApp": "_operator",
-    "SharedMachine": "_shared_machine",
+    "SharedStateMachine": "_shared_state_machine",
     "VmLeases": "_leases",
     "rendezvous": "_leases",
 }
 
-__all__ = ["ControlService", "OperatorApp", "SharedMachine", "VmLeases", "rendezvous"]  # noqa: F822
+__all__ = ["ControlService", "OperatorApp", "SharedStateMachine", "VmLeases", "rendezvous"]  # noqa: F822
 
 
 def __getattr__(name: str) -> Any:
--- a/libs/arbutusrill_control/_service.py
+++ b/libs/arbutusrill_control/_service.py
@@ -15,7 +15,7 @@
 from ._housekeeping import Housekeeping
 from ._leases import VmLeases, rendezvous
 from ._replicas import ReplicaMethods
-from ._shared_machine import SharedMachine
+from ._shared_state_machine import SharedStateMachine
 
 __all__ = ["ControlService"]
 
@@ -33,7 +33,7 @@
     Only the leader answers calls that change the state or whose answer must be current.
     """
 
-    def __init__(self, log: ReplicatedLog, machine: SharedMachine, clock: Clock):
+    def __init__(self, log: ReplicatedLog, machine: SharedStateMachine, clock: Clock):
         self.log = log
         self.machine = machine
         self.leases = VmLeases(clock)
--- a/libs/arbutusrill_control/tests/support.py
+++ b/libs/arbutusrill_control/tests/support.py
@@ -8,7 +8,7 @@
 from arbutusrill_wire import messages
 from werkzeug.test import Client
 
-from arbutusrill_control import ControlService, OperatorApp, SharedMachine
+from arbutusrill_control import ControlService, OperatorApp, SharedStateMachine
 
 TOKENS = {"ops": "token-1", "night": "token-2"}
 
@@ -59,7 +59,7 @@
 class ControlHarness:
     def __init__(self):
         self.clock = ManualClock(100.0)
-        self.machine = SharedMachine()
+        self.machine = SharedStateMachine()
         self.log = ControllableLog(self.machine)
         self.service = ControlService(self.log, self.machine, self.clock)
         self.client = InProcessControlClient(self.service)
--- a/libs/arbutusrill_daemon/_roles.py
+++ b/libs/arbutusrill_daemon/_roles.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from arbutusrill_base import Clock, PartLog, RetryBudget, SystemClock, TaskGroup, new_incarnation, split_address
-from arbutusrill_control import ControlService, OperatorApp, SharedMachine
+from arbutusrill_control import ControlService, OperatorApp, SharedStateMachine
 from arbutusrill_entry import (
     REPORT_S,
     RESERVED_PATHS,
@@ -58,7 +58,7 @@
 def _serve_control(settings: DaemonSettings):
     role = settings.control
     clock = SystemClock()
-    machine = SharedMachine()
+    machine = SharedStateMachine()
     with (
         Replica(role.rpc, settings.control_addresses, role.data_folder, machine) as log,
         ControlClient(settings.control_addresses) as client,
