--- a/libs/arbutusrill_burn/_counter.py
+++ b/libs/arbutusrill_burn/_counter.py
@@ -57,7 +57,7 @@
     >>> from arbutusrill_base import ManualClock
     >>> counter = BurnCounter(ManualClock(), windows_s=(300,))
     >>> counter.add("dispatch", "chat", "availability", good=True)
-    >>> counter.rows(10)
+    >>> counter.counts(10)
     [BurnCount(workspace='dispatch', route='chat', target='availability', window_s=300, good=1, bad=0)]
     """
 
@@ -85,7 +85,7 @@
             for window_s, window in zip(self._windows_s, windows, strict=True):
                 window.add(_slot_index(now, window_s), good)
 
-    def rows(self, limit: int) -> list[BurnCount]:
+    def counts(self, limit: int) -> list[BurnCount]:
         """Returns at most `limit` counts with requests, sorted by descending number of bad ones."""
         now = self._clock.monotonic()
         rows = []
--- a/libs/arbutusrill_burn/tests/test_burn.py
+++ b/libs/arbutusrill_burn/tests/test_burn.py
@@ -15,10 +15,10 @@
     counter.add("a", "chat", "first_token", good=False)
     clock.advance(400)
     counter.add("a", "chat", "first_token", good=True)
-    rows = counter.rows(100)
+    rows = counter.counts(100)
     assert (counts_of_window(rows, 300), counts_of_window(rows, 3600)) == ([(1, 0)], [(1, 1)])
     clock.advance(4000)
-    assert counts_of_window(counter.rows(100), 3600) == []
+    assert counts_of_window(counter.counts(100), 3600) == []
 
 
 def test_number_of_keys_is_bounded_and_idle_keys_are_evicted():
@@ -26,18 +26,18 @@
     counter = BurnCounter(clock, max_keys=5)
     for number in range(50):
         counter.add(f"w{number}", "chat", "availability", good=True)
-    assert (len(counter.rows(1000)), counter.dropped_requests) == (15, 45)
+    assert (len(counter.counts(1000)), counter.dropped_requests) == (15, 45)
     clock.advance(30_000)
     counter.add("new", "chat", "availability", good=True)
-    assert {row.workspace for row in counter.rows(1000)} == {"new"}
+    assert {row.workspace for row in counter.counts(1000)} == {"new"}
 
 
 def test_rows_are_limited_and_sorted_by_bad_requests():
     counter = BurnCounter(ManualClock(), windows_s=(300,))
     for number in range(20):
         counter.add(f"w{number}", "chat", "availability", good=number != 13)
-    assert [row.workspace for row in counter.rows(3)][0] == "w13"
-    assert len(counter.rows(3)) == 3
+    assert [row.workspace for row in counter.counts(3)][0] == "w13"
+    assert len(counter.counts(3)) == 3
 
 
 def test_rates_sum_vms_and_use_the_error_budget_of_each_workspace():
--- a/libs/arbutusrill_entry/_reports.py
+++ b/libs/arbutusrill_entry/_reports.py
@@ -23,7 +23,7 @@
     """
     rows = [
         messages.BurnRow(count.workspace, count.route, count.target, count.window_s, count.good, count.bad)
-        for count in context.meters.burn.rows(_MAX_ROWS)
+        for count in context.meters.burn.counts(_MAX_ROWS)
     ]
     identity = context.follower.identity
     try:
