--- a/libs/arbutusrill_daemon/_roles.py
+++ b/libs/arbutusrill_daemon/_roles.py
@@ -9,9 +9,9 @@
 from arbutusrill_base import Clock, PartLog, RetryBudget, SystemClock, TaskGroup, new_incarnation, split_address
 from arbutusrill_control import ControlService, OperatorApp, SharedStateMachine
 from arbutusrill_entry import (
-    REPORT_S,
+    BURN_REPORT_INTERVAL_S,
     RESERVED_PATHS,
-    Cleanup,
+    CleanupQueue,
     Drain,
     EntryApp,
     EntryContext,
@@ -115,7 +115,7 @@
             context.limits.start(tasks)
             context.journal.start(tasks)
             tasks.run_periodically(_POOL_TICK_INTERVAL_S, directory.tick)
-            tasks.run_periodically(REPORT_S, lambda: report_burn(context))
+            tasks.run_periodically(BURN_REPORT_INTERVAL_S, lambda: report_burn(context))
             yield
             Drain(context, application, server, force_stop).run(role.drain_limit_s)
         context.limits.drain(clock.monotonic() + _TOKEN_RETURN_TIMEOUT_S)
@@ -141,7 +141,7 @@
     )
     journal = JournalClient(identity.vm, identity.incarnation, client, clock)
     held_tickets = stack.enter_context(HeldTickets(pools, identity.vm, identity.incarnation))
-    cleanup = stack.enter_context(Cleanup())
+    cleanup = stack.enter_context(CleanupQueue())
     return EntryContext(
         follower, client, pools, tokens, journal, clock, cleanup, held_tickets, RetryBudget(), Meters(clock)
     )
@@ -161,8 +161,10 @@
 
 def _add_gauges(context: EntryContext, server: HttpServer) -> None:
     meters, config = context.meters, context.follower.config
-    meters.gauge("arbutusrill_freshness_age_seconds", "Age of the confirmed configuration.", context.follower.age_s)
-    meters.gauge("arbutusrill_config_revision", "Revision of the applied configuration.", lambda: config.revision)
-    meters.gauge("arbutusrill_held_tickets", "Places held on backend servers.", lambda: len(context.held))
-    meters.gauge("arbutusrill_cleanup_jobs", "Cancellations and releases not yet confirmed.", context.cleanup.pending)
-    meters.gauge("arbutusrill_busy_connections", "Connections with a request under way.", server.active_connections)
+    meters.add_gauge("arbutusrill_freshness_age_seconds", "Age of the confirmed configuration.", context.follower.age_s)
+    meters.add_gauge("arbutusrill_config_revision", "Revision of the applied configuration.", lambda: config.revision)
+    meters.add_gauge("arbutusrill_held_tickets", "Places held on backend servers.", lambda: len(context.held_tickets))
+    meters.add_gauge(
+        "arbutusrill_cleanup_jobs", "Cancellations and releases not yet confirmed.", context.cleanup.pending_jobs
+    )
+    meters.add_gauge("arbutusrill_busy_connections", "Connections with a request under way.", server.active_connections)
--- a/libs/arbutusrill_entry/_cleanup.py
+++ b/libs/arbutusrill_entry/_cleanup.py
@@ -12,7 +12,7 @@
 
 from arbutusrill_base import PartLog
 
-__all__ = ["Cleanup"]
+__all__ = ["CleanupQueue"]
 
 _THREAD_COUNT = 16
 _MAX_QUEUED_JOBS = 10_000
@@ -33,7 +33,7 @@
     backoff_s: float = field(compare=False, default=_INITIAL_BACKOFF_S)
 
 
-class Cleanup:
+class CleanupQueue:
     """Runs jobs on a thread pool and retries each with backoff until it returns True or times out.
 
     On exit, queued jobs get at most `_MAX_CLOSE_WAIT_S` more seconds. If `max_queued_jobs` jobs are queued already, or
@@ -50,7 +50,7 @@
         self._executor = ThreadPoolExecutor(threads, thread_name_prefix="cleanup")
         self._threads = threads
 
-    def __enter__(self) -> Cleanup:
+    def __enter__(self) -> CleanupQueue:
         for _ in range(self._threads):
             self._executor.submit(self._run_jobs)
         return self
@@ -79,7 +79,7 @@
                 return
         self._run_job(job, last=True)
 
-    def pending(self) -> int:
+    def pending_jobs(self) -> int:
         """Returns the number of jobs that are queued or running."""
         with self._changed:
             return len(self._jobs) + self._running
--- a/libs/arbutusrill_entry/_context.py
+++ b/libs/arbutusrill_entry/_context.py
@@ -8,7 +8,7 @@
 from arbutusrill_limits import TokenLeases
 from arbutusrill_state import ControlClient, Follower, JournalClient
 
-from ._cleanup import Cleanup
+from ._cleanup import CleanupQueue
 from ._held_tickets import HeldTickets
 from ._meters import Meters
 from ._pool_clients import PoolClients
@@ -26,8 +26,8 @@
     limits: TokenLeases
     journal: JournalClient
     clock: Clock
-    cleanup: Cleanup
-    held: HeldTickets
+    cleanup: CleanupQueue
+    held_tickets: HeldTickets
     retry_budget: RetryBudget
     meters: Meters
 
--- a/libs/arbutusrill_entry/_meters.py
+++ b/libs/arbutusrill_entry/_meters.py
@@ -41,7 +41,7 @@
             "arbutusrill_waiting_requests", "Requests that wait for a place on servers.", registry=self.registry
         )
 
-    def gauge(self, name: str, documentation: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, documentation: str, read: Callable[[], float]) -> None:
         """Registers a gauge whose value is read at each scrape."""
         Gauge(name, documentation, registry=self.registry).set_function(read)
 
--- a/libs/arbutusrill_entry/_reports.py
+++ b/libs/arbutusrill_entry/_reports.py
@@ -8,9 +8,9 @@
 
 from ._context import EntryContext
 
-__all__ = ["REPORT_S", "report_burn"]
+__all__ = ["BURN_REPORT_INTERVAL_S", "report_burn"]
 
-REPORT_S = 10.0
+BURN_REPORT_INTERVAL_S = 10.0
 _MAX_ROWS = 400  # of about 80 bytes each: at most 3.2 kB/s of the 4 kB/s allowed per node for control traffic
 _CALL_TIMEOUT_S = 2.0
 _log = PartLog("burn")
--- a/libs/arbutusrill_entry/_reservation.py
+++ b/libs/arbutusrill_entry/_reservation.py
@@ -104,7 +104,7 @@
     def mark_stage(self, address: str, stage: str) -> None:
         """Records that the engine at `address` may hold the request for `stage` from now on."""
         self._engine_stages.append((address, stage))
-        self._context.held.set_stage(self.ticket, stage)
+        self._context.held_tickets.set_stage(self.ticket, stage)
 
     def clear_stage(self, stage: str) -> None:
         """Records that no engine holds the request for `stage` any longer; it may still be held for the other stage."""
@@ -136,7 +136,9 @@
         except BaseException:
             self._cancel_and_release("gone", "")
             raise
-        self._context.held.add(self._requirements.pool, self.assignment, self._requirements.workspace, "assigned")
+        self._context.held_tickets.add(
+            self._requirements.pool, self.assignment, self._requirements.workspace, "assigned"
+        )
 
     def _wait_for_assignment(self, deadline: float) -> Any:
         problem = "no answer from the pool's owner"
@@ -182,7 +184,7 @@
         self.release.outcome = outcome
         release = self.release
         # A renewal after the release would make the owner register the ticket again.
-        self._context.held.remove(self.ticket)
+        self._context.held_tickets.remove(self.ticket)
         if not _try_release(self._context, release):
             description = f"{self.ticket} release"
             self._context.cleanup.add(description, lambda: _try_release(self._context, release), _CLEANUP_TIMEOUT_S)
@@ -194,7 +196,7 @@
             self._context, self.release, dict.fromkeys(address for address, _ in self._engine_stages)
         )
         self._engine_stages = []
-        held = self._context.held
+        held = self._context.held_tickets
         ticket = self.ticket
         self._context.cleanup.add(f"{ticket} cancellation", job.run, _CLEANUP_TIMEOUT_S, lambda: held.remove(ticket))
 
@@ -213,7 +215,7 @@
         """Makes one attempt; returns whether all cancellations and the release are acknowledged."""
         self._addresses = [address for address in self._addresses if not _try_cancel(address, self._release.ticket)]
         if not self._released and (not self._addresses or time.monotonic() >= self._release_at):
-            self._context.held.remove(self._release.ticket)
+            self._context.held_tickets.remove(self._release.ticket)
             self._released = _try_release(self._context, self._release)
         return self._released and not self._addresses
 
--- a/libs/arbutusrill_entry/tests/rig.py
+++ b/libs/arbutusrill_entry/tests/rig.py
@@ -13,7 +13,7 @@
 from arbutusrill_wire import messages
 from werkzeug.wrappers import Request
 
-from arbutusrill_entry import Cleanup, EntryApp, EntryContext, HeldTickets, Meters
+from arbutusrill_entry import CleanupQueue, EntryApp, EntryContext, HeldTickets, Meters
 
 KEY = "ak-" + "k" * 43
 WORDS = [f"w{number} " for number in range(12)]
@@ -212,7 +212,7 @@
         self.journal = JournalClient("entry1", 7, self.control, clock)
         self.journal.start(stack.enter_context(TaskGroup("journal", 2)))
         self.held = stack.enter_context(HeldTickets(self.pools, "entry1", 7))
-        cleanup = stack.enter_context(Cleanup(threads=4))
+        cleanup = stack.enter_context(CleanupQueue(threads=4))
         self.meters = Meters(clock)
         self.context = EntryContext(
             follower=self.follower,
@@ -222,7 +222,7 @@
             journal=self.journal,
             clock=clock,
             cleanup=cleanup,
-            held=self.held,
+            held_tickets=self.held,
             retry_budget=self.retry_budget,
             meters=self.meters,
         )
