--- a/libs/arbutusrill_control/_service.py
+++ b/libs/arbutusrill_control/_service.py
@@ -8,14 +8,14 @@
 from arbutusrill_base import Clock, PartLog
 from arbutusrill_limits import GrantOwner, Limits
 from arbutusrill_raft import LogUnavailableError, NotLeaderError, ReplicatedLog
-from arbutusrill_state import FEATURE_LEVEL, command
+from arbutusrill_state import FEATURE_LEVEL, make_command
 from arbutusrill_wire import decode, encode, messages
 
 from ._burn import BurnAggregator
 from ._housekeeping import Housekeeping
 from ._leases import VmLeases, rendezvous
 from ._replicas import ReplicaMethods
-from ._shared_machine import SharedMachine
+from ._shared_state_machine import SharedStateMachine
 
 __all__ = ["ControlService"]
 
@@ -33,7 +33,7 @@
     Only the leader answers calls that change the state or whose answer must be current.
     """
 
-    def __init__(self, log: ReplicatedLog, state_machine: SharedMachine, clock: Clock):
+    def __init__(self, log: ReplicatedLog, state_machine: SharedStateMachine, clock: Clock):
         self.log = log
         self.state_machine = state_machine
         self.leases = VmLeases(clock)
@@ -186,12 +186,12 @@
             request.state,
         )
         if registered != wanted:
-            self.propose(command(wanted, "control", self._clock.wall_ms()))
+            self.propose(make_command(wanted, "control", self._clock.wall_ms()))
 
     def _try_propose(self, change: Any) -> None:
         """Proposes a change; a refusal is only logged."""
         try:
-            self.propose(command(change, "control", self._clock.wall_ms()))
+            self.propose(make_command(change, "control", self._clock.wall_ms()))
         except messages.Refused as refused:
             _log.warning("change proposed by the control role was not committed: %s", refused.message)
 
--- a/libs/arbutusrill_control/tests/support.py
+++ b/libs/arbutusrill_control/tests/support.py
@@ -8,7 +8,7 @@
 from arbutusrill_wire import messages
 from werkzeug.test import Client
 
-from arbutusrill_control import ControlService, OperatorApp, SharedMachine
+from arbutusrill_control import ControlService, OperatorApp, SharedStateMachine
 
 TOKENS = {"ops": "token-1", "night": "token-2"}
 
@@ -59,7 +59,7 @@
 class ControlHarness:
     def __init__(self):
         self.clock = ManualClock(100.0)
-        self.state_machine = SharedMachine()
+        self.state_machine = SharedStateMachine()
         self.log = ControllableLog(self.state_machine)
         self.service = ControlService(self.log, self.state_machine, self.clock)
         self.client = InProcessControlClient(self.service)
--- a/libs/arbutusrill_daemon/_roles.py
+++ b/libs/arbutusrill_daemon/_roles.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from arbutusrill_base import Clock, PartLog, RetryBudget, SystemClock, TaskGroup, new_incarnation, split_address
-from arbutusrill_control import ControlService, OperatorApp, SharedMachine
+from arbutusrill_control import ControlService, OperatorApp, SharedStateMachine
 from arbutusrill_entry import (
-    REPORT_S,
+    BURN_REPORT_INTERVAL_S,
     RESERVED_PATHS,
-    Cleanup,
+    CleanupQueue,
     Drain,
     EntryApp,
     EntryContext,
@@ -24,7 +24,7 @@
 from arbutusrill_limits import Limits, TokenLeases
 from arbutusrill_pool import PoolDirectory
 from arbutusrill_raft import Replica
-from arbutusrill_state import ConfigState, ControlClient, Follower, JournalClient, VmIdentity, command
+from arbutusrill_state import ConfigState, ControlClient, Follower, JournalClient, VmIdentity, make_command
 from arbutusrill_wire import RpcServer, messages
 
 from ._settings import DaemonSettings
@@ -58,7 +58,7 @@
 def _serve_control(settings: DaemonSettings):
     role = settings.control
     clock = SystemClock()
-    machine = SharedMachine()
+    machine = SharedStateMachine()
     with (
         Replica(role.rpc, settings.control_addresses, role.data_folder, machine) as log,
         ControlClient(settings.control_addresses) as client,
@@ -74,7 +74,7 @@
             ),
             HttpServer(*split_address(role.http), operator_app),
         ):
-            tasks.every(_CONTROL_TICK_INTERVAL_S, service.tick)
+            tasks.run_periodically(_CONTROL_TICK_INTERVAL_S, service.tick)
             yield
 
 
@@ -114,8 +114,8 @@
             follower.start(tasks)
             context.limits.start(tasks)
             context.journal.start(tasks)
-            tasks.every(_POOL_TICK_INTERVAL_S, directory.tick)
-            tasks.every(REPORT_S, lambda: report_burn(context))
+            tasks.run_periodically(_POOL_TICK_INTERVAL_S, directory.tick)
+            tasks.run_periodically(BURN_REPORT_INTERVAL_S, lambda: report_burn(context))
             yield
             Drain(context, application, server, force_stop).run(role.drain_limit_s)
         context.limits.drain(clock.monotonic() + _TOKEN_RETURN_TIMEOUT_S)
@@ -141,7 +141,7 @@
     )
     journal = JournalClient(identity.vm, identity.incarnation, client, clock)
     held_tickets = stack.enter_context(HeldTickets(pools, identity.vm, identity.incarnation))
-    cleanup = stack.enter_context(Cleanup())
+    cleanup = stack.enter_context(CleanupQueue())
     return EntryContext(
         follower, client, pools, tokens, journal, clock, cleanup, held_tickets, RetryBudget(), Meters(clock)
     )
@@ -156,13 +156,15 @@
 
 
 def _report_order(client: ControlClient, vm: str, clock: Clock, record: Any) -> bool:
-    return client.call("propose", command(record, vm, clock.wall_ms()), timeout=_PROPOSE_TIMEOUT_S).accepted
+    return client.call("propose", make_command(record, vm, clock.wall_ms()), timeout=_PROPOSE_TIMEOUT_S).accepted
 
 
 def _add_gauges(context: EntryContext, server: HttpServer) -> None:
     meters, config = context.meters, context.follower.config
-    meters.gauge("arbutusrill_freshness_age_seconds", "Age of the confirmed configuration.", context.follower.age_s)
-    meters.gauge("arbutusrill_config_revision", "Revision of the applied configuration.", lambda: config.revision)
-    meters.gauge("arbutusrill_held_tickets", "Places held on backend servers.", lambda: len(context.held))
-    meters.gauge("arbutusrill_cleanup_jobs", "Cancellations and releases not yet confirmed.", context.cleanup.pending)
-    meters.gauge("arbutusrill_busy_connections", "Connections with a request under way.", server.busy)
+    meters.add_gauge("arbutusrill_freshness_age_seconds", "Age of the confirmed configuration.", context.follower.age_s)
+    meters.add_gauge("arbutusrill_config_revision", "Revision of the applied configuration.", lambda: config.revision)
+    meters.add_gauge("arbutusrill_held_tickets", "Places held on backend servers.", lambda: len(context.held_tickets))
+    meters.add_gauge(
+        "arbutusrill_cleanup_jobs", "Cancellations and releases not yet confirmed.", context.cleanup.pending_jobs
+    )
+    meters.add_gauge("arbutusrill_busy_connections", "Connections with a request under way.", server.active_connections)
--- a/libs/arbutusrill_entry/_reports.py
+++ b/libs/arbutusrill_entry/_reports.py
@@ -8,9 +8,9 @@
 
 from ._context import EntryContext
 
-__all__ = ["REPORT_S", "report_burn"]
+__all__ = ["BURN_REPORT_INTERVAL_S", "report_burn"]
 
-REPORT_S = 10.0
+BURN_REPORT_INTERVAL_S = 10.0
 _MAX_ROWS = 400  # of about 80 bytes each: at most 3.2 kB/s of the 4 kB/s allowed per node for control traffic
 _CALL_TIMEOUT_S = 2.0
 _log = PartLog("burn")
@@ -23,7 +23,7 @@
     """
     rows = [
         messages.BurnRow(count.workspace, count.route, count.target, count.window_s, count.good, count.bad)
-        for count in context.meters.burn.rows(_MAX_ROWS)
+        for count in context.meters.burn.counts(_MAX_ROWS)
     ]
     identity = context.follower.identity
     try:
--- a/libs/arbutusrill_entry/_reservation.py
+++ b/libs/arbutusrill_entry/_reservation.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from arbutusrill_base import Failure, FailureError, Verdict
-from arbutusrill_http import AbortStreamError, Transfer, caller_gone, fetch
+from arbutusrill_http import AbortStreamError, Transfer, fetch, peer_closed
 from arbutusrill_wire import RpcError, messages
 
 from ._context import EntryContext
@@ -34,7 +34,7 @@
     """
 
     def check() -> bool:
-        if caller_gone(caller):
+        if peer_closed(caller):
             raise AbortStreamError
         failure = guard.check_key(Verdict.NOT_RUN)
         if failure is not None:
@@ -104,7 +104,7 @@
     def mark_stage(self, address: str, stage: str) -> None:
         """Records that the engine at `address` may hold the request for `stage` from now on."""
         self._engine_stages.append((address, stage))
-        self._context.held.set_stage(self.ticket, stage)
+        self._context.held_tickets.set_stage(self.ticket, stage)
 
     def clear_stage(self, stage: str) -> None:
         """Records that no engine holds the request for `stage` any longer; it may still be held for the other stage."""
@@ -136,7 +136,9 @@
         except BaseException:
             self._cancel_and_release("gone", "")
             raise
-        self._context.held.add(self._requirements.pool, self.assignment, self._requirements.workspace, "assigned")
+        self._context.held_tickets.add(
+            self._requirements.pool, self.assignment, self._requirements.workspace, "assigned"
+        )
 
     def _wait_for_assignment(self, deadline: float) -> Any:
         reason = "no answer from the pool's owner"
@@ -182,7 +184,7 @@
         self.release.outcome = outcome
         release = self.release
         # A renewal after the release would make the owner register the ticket again.
-        self._context.held.remove(self.ticket)
+        self._context.held_tickets.remove(self.ticket)
         if not _try_release(self._context, release):
             description = f"{self.ticket} release"
             self._context.cleanup.add(description, lambda: _try_release(self._context, release), _CLEANUP_TIMEOUT_S)
@@ -194,7 +196,7 @@
             self._context, self.release, dict.fromkeys(address for address, _ in self._engine_stages)
         )
         self._engine_stages = []
-        held = self._context.held
+        held = self._context.held_tickets
         ticket = self.ticket
         self._context.cleanup.add(f"{ticket} cancellation", job.run, _CLEANUP_TIMEOUT_S, lambda: held.remove(ticket))
 
@@ -216,7 +218,7 @@
         """Makes one attempt; returns whether all cancellations and the release are acknowledged."""
         self._addresses = [address for address in self._addresses if not _try_cancel(address, self._release.ticket)]
         if not self._released and (not self._addresses or time.monotonic() >= self._release_at):
-            self._context.held.remove(self._release.ticket)
+            self._context.held_tickets.remove(self._release.ticket)
             self._released = _try_release(self._context, self._release)
         return self._released and not self._addresses
 
@@ -233,4 +235,4 @@
     body = json.dumps({"request_id": ticket}).encode()
     transfer = Transfer("POST", f"{address}/engine/cancel", ["Content-Type: application/json"], body, _CANCEL_TIMEOUT_S)
     result = fetch(transfer)
-    return result.whole and result.status == 200
+    return result.is_complete and result.status == 200
--- a/libs/arbutusrill_entry/_services.py
+++ b/libs/arbutusrill_entry/_services.py
@@ -54,7 +54,7 @@
                 )
             finally:
                 if service_call.verdict is Verdict.NOT_RUN:
-                    charge.settle(0)
+                    charge.refund_unused(0)
 
     def _charge(self, requirements: Requirements, caller: socket.socket, guard: KeyGuard) -> Charge:
         config = self._context.follower.config
@@ -116,11 +116,11 @@
         if self._context.pools.find_pool(self._name) is None:
             raise FailureError(Failure("no_server", f"no server of {self._name!r} is known", retry_after=1.0))
         if self._repeatable:
-            self._context.retry_budget.request()
+            self._context.retry_budget.record_request()
         with ServerReservation(self._context, self.requirements, self._caller, self._guard) as reservation:
             for attempt in range(1, _MAX_ATTEMPTS + 1):
                 answer, result = self._send(reservation, attempt)
-                if result.whole:
+                if result.is_complete:
                     return answer
                 outcome = "not_sent" if result.verdict is Verdict.NOT_RUN else "decode_failed"
                 reservation.set_failure(outcome, reservation.assignment.decode_server)
@@ -159,9 +159,9 @@
         if self._journaled is not None:
             self._journaled.check_send(self.requirements.deadline)
         earlier_verdict = self.verdict
-        self.verdict = earlier_verdict.worst(Verdict.MAY_HAVE_RUN)
+        self.verdict = earlier_verdict.combine(Verdict.MAY_HAVE_RUN)
         result = fetch(transfer)
-        self.verdict = earlier_verdict.worst(result.verdict)
+        self.verdict = earlier_verdict.combine(result.verdict)
         if result.error == "gone":
             raise AbortStreamError
         if result.error == "stopped":
@@ -181,13 +181,13 @@
             self.request.get_data(),
             _CALL_TIMEOUT_S,
             _STALL_TIMEOUT_S,
-            fresh=not self._repeatable or attempt > 1,
+            new_connection=not self._repeatable or attempt > 1,
             on_head=answer.on_head,
             on_data=answer.on_data,
         )
         if self._repeatable:
             # Only repeatable calls may be aborted: the outcome of any other aborted call would be unknown.
-            transfer.watched = self._caller
+            transfer.caller_connection = self._caller
             transfer.should_stop = self._key_refused
             transfer.stall_s = _FIRST_ATTEMPT_STALL_TIMEOUT_S if attempt == 1 else _STALL_TIMEOUT_S
         return transfer
@@ -210,7 +210,7 @@
 
     def _with_call_verdict(self, failure: Failure) -> FailureError:
         """Returns an error with the worst verdict of the call's attempts and of `failure`."""
-        verdict = self.verdict.worst(failure.verdict)
+        verdict = self.verdict.combine(failure.verdict)
         return FailureError(Failure(failure.code, failure.message, verdict, failure.status, failure.retry_after))
 
 
--- a/libs/arbutusrill_entry/tests/rig.py
+++ b/libs/arbutusrill_entry/tests/rig.py
@@ -9,11 +9,11 @@
 from arbutusrill_base import RetryBudget, SystemClock, TaskGroup, hash_key
 from arbutusrill_http import AbortStreamError, HttpLimits, HttpServer, json_response
 from arbutusrill_limits import Limits, TokenLeases
-from arbutusrill_state import ConfigState, JournalClient, VmIdentity, command
+from arbutusrill_state import ConfigState, JournalClient, VmIdentity, make_command
 from arbutusrill_wire import messages
 from werkzeug.wrappers import Request
 
-from arbutusrill_entry import Cleanup, EntryApp, EntryContext, HeldTickets, Meters
+from arbutusrill_entry import CleanupQueue, EntryApp, EntryContext, HeldTickets, Meters
 
 KEY = "ak-" + "k" * 43
 WORDS = [f"w{number} " for number in range(12)]
@@ -122,13 +122,13 @@
     def __init__(self):
         self.config = ConfigState()
         self.identity = VmIdentity("entry1", 7, "127.0.0.1:1", "127.0.0.1:2", "dc1")
-        self.is_fresh = True
+        self.state_is_fresh = True
 
-    def fresh(self):
-        return self.is_fresh
+    def is_fresh(self):
+        return self.state_is_fresh
 
     def apply(self, change):
-        assert self.config.apply(command(change, "test", 1)).accepted
+        assert self.config.apply(make_command(change, "test", 1)).accepted
 
 
 class StubPools:
@@ -212,7 +212,7 @@
         self.journal = JournalClient("entry1", 7, self.control, clock)
         self.journal.start(stack.enter_context(TaskGroup("journal", 2)))
         self.held = stack.enter_context(HeldTickets(self.pools, "entry1", 7))
-        cleanup = stack.enter_context(Cleanup(threads=4))
+        cleanup = stack.enter_context(CleanupQueue(threads=4))
         self.meters = Meters(clock)
         self.context = EntryContext(
             follower=self.follower,
@@ -222,7 +222,7 @@
             journal=self.journal,
             clock=clock,
             cleanup=cleanup,
-            held=self.held,
+            held_tickets=self.held,
             retry_budget=self.retry_budget,
             meters=self.meters,
         )
--- a/libs/arbutusrill_entry/tests/test_relay.py
+++ b/libs/arbutusrill_entry/tests/test_relay.py
@@ -105,7 +105,7 @@
 
 
 def test_no_retry_without_budget(rig):
-    while rig.retry_budget.take():
+    while rig.retry_budget.try_acquire():
         pass
     rig.engine().crash_at = 5
     assert_aborted(rig.chat(stream=True), "decode_failed")
@@ -214,7 +214,7 @@
         elif change == "workspace":
             rig.follower.apply(messages.RemoveWorkspace("dispatch"))
         else:
-            rig.follower.is_fresh = False
+            rig.follower.state_is_fresh = False
         rest = stream.read()
     assert time.monotonic() - changed_at < 5
     assert b'"verdict": "may_have_run"' in rest and b"[DONE]" not in rest and not rest.endswith(b"0\r\n\r\n")
--- a/libs/arbutusrill_entry/tests/test_services.py
+++ b/libs/arbutusrill_entry/tests/test_services.py
@@ -177,7 +177,7 @@
 
 
 def test_repeatable_call_without_budget_says_may_have_run(rig, service, dropping):
-    while rig.retry_budget.take():
+    while rig.retry_budget.try_acquire():
         pass
     answer = rig.call("GET", "/services/seats/stops")
     assert (answer[0], error_of(answer)["verdict"]) == (502, "may_have_run")
@@ -268,7 +268,7 @@
     elif change == "key":
         rig.follower.apply(messages.WithdrawKey("k1"))
     else:
-        rig.follower.is_fresh = False
+        rig.follower.state_is_fresh = False
     time.sleep(0.8)
     assert not [name for name, _ in rig.control.calls if name == "finish_call"]
     service.wait.set()
--- a/libs/arbutusrill_gateway/_stream.py
+++ b/libs/arbutusrill_gateway/_stream.py
@@ -223,9 +223,9 @@
         engine = exchange.service.engine
         if engine is None or _last_event_id(exchange, self._events):
             return None
-        if self._kv_cache is not None and time.monotonic() - self._prefilled_at < engine.handle_s:
+        if self._kv_cache is not None and time.monotonic() - self._prefilled_at < engine.kv_cache_ttl_s:
             return self._kv_cache
-        if self._prefill_count and not exchange.budget.take():
+        if self._prefill_count and not exchange.budget.try_acquire():
             return None
         self._prefill_count += 1
         self._kv_cache = run_prefill(exchange, placement)
@@ -296,7 +296,7 @@
             result.outcome, result.detail = Outcome.BROKEN, "a success without an event"
         return result
     except _CallerDisconnectedError:
-        exchange.verdict = exchange.verdict.worst(Verdict.MAY_HAVE_RUN)
+        exchange.verdict = exchange.verdict.combine(Verdict.MAY_HAVE_RUN)
         raise exchange.caller_gone_error() from None
 
 
--- a/libs/arbutusrill_raft/_elections.py
+++ b/libs/arbutusrill_raft/_elections.py
@@ -102,7 +102,7 @@
         member_ids = [core.own_id]
         for address in self._other_initial_addresses:
             try:
-                reply = self._transport.call(address, "hello", core.own_id, core.timing.call_s)
+                reply = self._transport.call(address, "hello", core.own_id, core.timing.call_timeout_s)
             except (OSError, messages.Refused):
                 reply = None
             if reply is None or reply.group or reply.fault:
--- a/libs/arbutusrill_site/_follower.py
+++ b/libs/arbutusrill_site/_follower.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from arbutusrill_base import Clock, EventLog, TaskGroup
-from arbutusrill_limits import FleetLevels, FleetMeter
+from arbutusrill_limits import FleetLevels, FleetRateLimiter
 from arbutusrill_state import ControlClient, ControlUnavailableError
 from arbutusrill_wire import messages
 
@@ -73,7 +73,7 @@
         incarnation: int,
         client: ControlClient,
         clock: Clock,
-        meter: FleetMeter,
+        meter: FleetRateLimiter,
         decode: Callable[[bytes], Any],
         backend_loads: Callable[[], list[Any]],
         places: Callable[[], list[Any]],
@@ -127,7 +127,7 @@
                 self._failures += 1
                 self._set_connected(False, str(error))
                 # All known members may have been replaced during a partition: start again from the seeds.
-                self._client.learn(self._seeds())
+                self._client.set_addresses(self._seeds())
                 stopping.wait(_RETRY_DELAY_S)
             except Exception as error:  # such as a document that this version cannot decode; the task must go on
                 _events.emit("view_not_updated", reason=repr(error))
@@ -162,9 +162,9 @@
         reply = self._client.call("follow_site", request, timeout=_CALL_TIMEOUT_S, try_timeout=wait_ms / 1000 + 0.35)
         with self._state_lock:
             self._apply_reply(reply)
-        self._meter.learn(report, FleetLevels(reply.available or {}, reply.counted))
+        self._meter.apply_levels(report, FleetLevels(reply.available or {}, reply.counted))
         self.view.last_poll_sent_at = sent_at
-        self._client.learn(reply.control or [])
+        self._client.set_addresses(reply.control or [])
 
     def _apply_reply(self, reply: Any) -> None:
         view = self.view
--- a/libs/arbutusrill_site/_membership.py
+++ b/libs/arbutusrill_site/_membership.py
@@ -10,7 +10,7 @@
 from arbutusrill_state import ControlClient, ControlUnavailableError
 from arbutusrill_wire import messages
 
-__all__ = ["GroupKeeper", "Joiner"]
+__all__ = ["GroupJoinClient", "MembershipManager"]
 
 _VOTER_TIMEOUT_S = 3.0  # a voter silent for longer may be replaced by a VM that asks to join
 _JOIN_REQUEST_TTL_S = 3.0  # validity of a request to join
@@ -19,7 +19,7 @@
 _events = EventLog("group")
 
 
-class GroupKeeper:
+class MembershipManager:
     """On the leader, fills the group up to `size` voters from the VMs that ask to join, one change at a time.
 
     A VM that asks from the address of a member but has a new disk replaces that member. A silent voter is replaced only
@@ -93,7 +93,7 @@
         _events.emit("voter_replaced", old=old, new=new_member, reason=reason)
 
 
-class Joiner:
+class GroupJoinClient:
     """On each control VM, asks to join the group while the VM is not a member."""
 
     def __init__(self, log: Replica, address: str, client: ControlClient, seeds: Callable[[], list[str]]):
@@ -106,7 +106,7 @@
         """Asks once if this VM is not a voter or knows no leader."""
         status = self._log.status()
         if status.replica in status.voters and status.leader:
-            self._client.learn([address_of(member) for member in [*status.voters, *status.learners]])
+            self._client.set_addresses([address_of(member) for member in [*status.voters, *status.learners]])
             return
         try:
             members = self._client.call("join", status.replica, timeout=_JOIN_TIMEOUT_S, try_timeout=0.5)
@@ -114,6 +114,6 @@
             _events.emit("join_unanswered", reason=str(error))
             # All known members may have been replaced: the seeds are tried as well.
             known = [address_of(member) for member in [*status.voters, *status.learners]]
-            self._client.learn(sorted({*self._seeds(), *known, self._address}))
+            self._client.set_addresses(sorted({*self._seeds(), *known, self._address}))
             return
-        self._client.learn([*members, self._address] if self._address not in members else members)
+        self._client.set_addresses([*members, self._address] if self._address not in members else members)
--- a/libs/arbutusrill_site/_service.py
+++ b/libs/arbutusrill_site/_service.py
@@ -12,29 +12,29 @@
 from arbutusrill_base import Clock, EventLog
 from arbutusrill_limits import FleetBuckets, Limits, SpendReport
 from arbutusrill_raft import LogUnavailableError, NotLeaderError, Replica
-from arbutusrill_state import SharedState, command
+from arbutusrill_state import SharedState, make_command
 from arbutusrill_wire import decode, encode, messages
 
 from ._backends import BackendRegistry
 from ._configuration import Engine, SiteConfiguration
 from ._entries import EntryRegistry
-from ._membership import GroupKeeper
+from ._membership import MembershipManager
 from ._places import PlaceLedger
-from ._stages import EngineRegistry, EngineStatistics, StageKeeper
+from ._stages import EngineRegistry, EngineStatistics, StageBalancer
 
-__all__ = ["SiteLimits", "SiteService"]
+__all__ = ["SilenceTimeouts", "SiteService"]
 
 _COMMIT_TIMEOUT_S = 2.0
 _CONFIRM_TIMEOUT_S = 1.0
 _MAX_LONG_POLL_S = 2.0
-_MAX_SEQUENCE = 2**62  # a departure with this number covers all announcements that a server makes after one start
+_MAX_SEQUENCE = 2**62  # a departure with this number outdates all announcements that a server makes after one start
 _SAVE_INTERVAL_S_PER_BACKEND = 0.05  # the interval grows with the list, which bounds the write rate of the log
 _COALESCING_DELAY_S = 0.005  # wait after a change, so that one reply carries the changes that come together
 _events = EventLog("site")
 
 
 @dataclass(slots=True, frozen=True)
-class SiteLimits:
+class SilenceTimeouts:
     """Seconds without an announcement or a poll after which a backend server or an entry VM is dropped."""
 
     backend_timeout_s: float = 6.0
@@ -44,7 +44,7 @@
 class SiteService:
     """Implements the IDL's `Site` service. Only the leader serves calls; other control VMs refuse them and name it.
 
-    `decode_document` decodes the body of a configuration document. `make_stage_keeper` builds the keeper from the
+    `decode_document` decodes the body of a configuration document. `make_stage_balancer` builds the balancer from the
     registry of engines and the statistics of their work. `rate_slack` is the number of tokens by which a workspace may
     briefly exceed its bucket.
     """
@@ -55,10 +55,10 @@
         state: SharedState,
         changed: threading.Condition,
         clock: Clock,
-        limits: SiteLimits,
+        timeouts: SilenceTimeouts,
         decode_document: Callable[[bytes], SiteConfiguration],
-        group_keeper: GroupKeeper,
-        make_stage_keeper: Callable[[EngineRegistry, EngineStatistics], StageKeeper],
+        membership_manager: MembershipManager,
+        make_stage_balancer: Callable[[EngineRegistry, EngineStatistics], StageBalancer],
         rate_slack: float,
     ):
         self._log = log
@@ -66,12 +66,12 @@
         self._changed = changed
         self._clock = clock
         self._decode_document = decode_document
-        self._group_keeper = group_keeper
-        self.backends = BackendRegistry(clock, limits.backend_timeout_s, changed, state.departures, state.roster)
-        self.entries = EntryRegistry(clock, limits.entry_timeout_s, changed)
+        self._membership_manager = membership_manager
+        self.backends = BackendRegistry(clock, timeouts.backend_timeout_s, changed, state.departures, state.roster)
+        self.entries = EntryRegistry(clock, timeouts.entry_timeout_s, changed)
         self._buckets = FleetBuckets(self._limits_of, clock, rate_slack)
         self.places = PlaceLedger(clock, self.backends.records, self._engine_of, lambda: self.backends.complete)
-        self.stage_keeper = make_stage_keeper(_SiteEngineRegistry(self), self.places.speeds)
+        self.stage_balancer = make_stage_balancer(_SiteEngineRegistry(self), self.places.speeds)
         self._decoded_document: tuple[int, SiteConfiguration | None] = (0, None)
         self._term: int | None = None
         self._term_lock = threading.Lock()
@@ -112,9 +112,9 @@
             self.entries.complete,
             levels.tokens_by_workspace,
             self.entries.uses_of_others(request.entry.id),
-            self._group_keeper.addresses(),
+            self._membership_manager.addresses(),
             None if knows_backends else self._state.departures.records(),
-            levels.counted,
+            levels.is_reporter_known,
         )
 
     def _wait_for_change(self, request: Any, term: int) -> bool:
@@ -134,7 +134,7 @@
     def announce_backend(self, record: Any) -> None:
         """Registers an announcement of a backend server; a departure is committed before the reply."""
         self._require_leadership()
-        if record.draining and not self._state.departures.covers(record.id, record.started_ms, 0):
+        if record.draining and not self._state.departures.is_outdated(record.id, record.started_ms, 0):
             self._propose(messages.PutDeparture(record.id, record.started_ms, record.sequence))
         self.backends.announce(record)
         self._confirm_leadership()
@@ -143,7 +143,7 @@
         """Commits the departure of a backend server and drops it; `started_ms` 0 means its latest start."""
         self._require_leadership()
         start = started_ms or self.backends.started_ms_of(backend) or self._clock.wall_ms()
-        if not self._state.departures.covers(backend, start, _MAX_SEQUENCE):
+        if not self._state.departures.is_outdated(backend, start, _MAX_SEQUENCE):
             self._propose(messages.PutDeparture(backend, start, _MAX_SEQUENCE))
         self.backends.remove(backend, start)
         self._confirm_leadership()
@@ -180,7 +180,7 @@
         return outcome.revision
 
     def _propose(self, change: Any) -> Any:
-        encoded = encode(command(change, "site", self._clock.wall_ms()))
+        encoded = encode(make_command(change, "site", self._clock.wall_ms()))
         try:
             return decode(messages.Outcome, self._log.propose(encoded, _COMMIT_TIMEOUT_S))
         except NotLeaderError as error:
@@ -197,8 +197,8 @@
     def join(self, member: str) -> list[str]:
         """Records that the control VM with the ID `member` wants to join the group; returns the members' addresses."""
         self._require_leadership()
-        self._group_keeper.record_join_request(member)
-        return self._group_keeper.addresses()
+        self._membership_manager.record_join_request(member)
+        return self._membership_manager.addresses()
 
     def tick(self) -> None:
         """Updates the term from the log; on the leader drops backend servers and entry VMs that time out."""
@@ -206,7 +206,7 @@
             return
         self.backends.expire()
         for entry, incarnation in self.entries.expire():
-            self._buckets.forget(entry, incarnation)
+            self._buckets.drop_reporter(entry, incarnation)
             self.places.free_places_of(entry, incarnation)
 
     def save_backends(self) -> None:
@@ -233,7 +233,7 @@
 
     def balance(self) -> None:
         """Balances prefill and decode engines; blocks while an engine answers an order."""
-        self.stage_keeper.tick(self._term if self._log.is_leader() else None)
+        self.stage_balancer.tick(self._term if self._log.is_leader() else None)
 
     def _update_term(self) -> bool:
         """Resets the soft state at the start of a term as leader; returns whether this VM leads."""
@@ -243,7 +243,7 @@
                 self.backends.begin_term()
                 self.backends.restore_roster()
                 self.entries.begin_term()
-                self._buckets.reset()
+                self._buckets.clear()
                 self.places.begin_term(term)
                 _events.emit("leadership_began", term=term, document=self._state.document.version)
             elif term is None and self._term is not None:
@@ -285,7 +285,7 @@
 
 
 class _SiteEngineRegistry(EngineRegistry):
-    """Gives the `StageKeeper` access to the backend servers of a `SiteService`."""
+    """Gives the `StageBalancer` access to the backend servers of a `SiteService`."""
 
     def __init__(self, service: SiteService):
         self._service = service
