--- a/libs/arbutusrill_daemon/_roles.py
+++ b/libs/arbutusrill_daemon/_roles.py
@@ -60,16 +60,16 @@
     clock = SystemClock()
     machine = SharedStateMachine()
     with (
-        Replica(role.rpc, settings.control_addresses, role.data_folder, machine) as log,
+        Replica(role.rpc, settings.control_addresses, role.data_folder, machine) as replica,
         ControlClient(settings.control_addresses) as client,
     ):
-        service = ControlService(log, machine, clock)
+        service = ControlService(replica, machine, clock)
         with (
             OperatorApp(service, client, clock, role.operator_token_sha256_by_name) as operator_app,
             TaskGroup("control", 4) as tasks,
             RpcServer(
                 *split_address(role.rpc),
-                {messages.Control: service, messages.Raft: log.handler},
+                {messages.Control: service, messages.Raft: replica.handler},
                 limit=_MAX_CONTROL_CONNECTIONS,
             ),
             HttpServer(*split_address(role.http), operator_app),
@@ -132,7 +132,7 @@
     clock = SystemClock()
     identity = follower.identity
     pools = stack.enter_context(contextlib.closing(PoolClients(follower, client, directory)))
-    tokens = TokenLeases(
+    token_leases = TokenLeases(
         identity.vm,
         identity.incarnation,
         lambda request: client.call("grant", request, timeout=1.0),
@@ -143,7 +143,7 @@
     held_tickets = stack.enter_context(HeldTickets(pools, identity.vm, identity.incarnation))
     cleanup = stack.enter_context(CleanupQueue())
     return EntryContext(
-        follower, client, pools, tokens, journal, clock, cleanup, held_tickets, RetryBudget(), Meters(clock)
+        follower, client, pools, token_leases, journal, clock, cleanup, held_tickets, RetryBudget(), Meters(clock)
     )
 
 
--- a/libs/arbutusrill_entry/_call.py
+++ b/libs/arbutusrill_entry/_call.py
@@ -42,20 +42,20 @@
 
     def __exit__(self, kind: object, error: BaseException | None, _: object) -> None:
         self._meters.open_requests.labels(self._open_route).dec()
-        caller_left = False
+        caller_disconnected = False
         if self._failure is None and error is not None:
-            caller_left = isinstance(error, (AbortStreamError, ConnectionError, TimeoutError))
+            caller_disconnected = isinstance(error, (AbortStreamError, ConnectionError, TimeoutError))
             self._failure = _to_failure(error)
         elapsed_s = time.monotonic() - self._started_at
         failure = self._failure
-        verdict = "gone" if caller_left else failure.verdict.value if failure is not None else "ok"
+        verdict = "gone" if caller_disconnected else failure.verdict.value if failure is not None else "ok"
         self._meters.requests.labels(self.route, verdict).inc()
         self._meters.request_s.labels(self.route).observe(elapsed_s)
         if self._token_count:
             self._meters.tokens.inc(self._token_count)
         if failure is not None:
             self._log_failure(failure, elapsed_s)
-        if not caller_left:
+        if not caller_disconnected:
             self._record_targets(failure)
 
     def add_tokens(self, count: int) -> None:
--- a/libs/arbutusrill_entry/_context.py
+++ b/libs/arbutusrill_entry/_context.py
@@ -31,7 +31,7 @@
     retry_budget: RetryBudget
     meters: Meters
 
-    def take_retry(self) -> bool:
+    def try_acquire_retry(self) -> bool:
         """Takes one retry from the retry budget; returns False if none is left.
 
         The setting ``retry.budget`` limits retries to a fraction of the requests.
--- a/libs/arbutusrill_entry/_held_tickets.py
+++ b/libs/arbutusrill_entry/_held_tickets.py
@@ -30,7 +30,7 @@
         self._vm = vm
         self._incarnation = incarnation
         self._lock = threading.Lock()
-        self._held_by_ticket: dict[str, Any] = {}
+        self._ticket_by_id: dict[str, Any] = {}
         self._busy_owners: set[str] = set()
         self._tasks = TaskGroup("renewals", _MAX_PARALLEL_OWNERS)
 
@@ -42,32 +42,32 @@
         self._tasks.close()
 
     def __len__(self) -> int:
-        return len(self._held_by_ticket)
+        return len(self._ticket_by_id)
 
     def add(self, pool: str, assignment: Any, workspace: str, stage: str) -> None:
         """Starts renewing the ticket of an assignment."""
-        held = messages.HeldTicket(assignment.ticket, pool, assignment, workspace, stage)
+        held_ticket = messages.HeldTicket(assignment.ticket, pool, assignment, workspace, stage)
         with self._lock:
-            self._held_by_ticket[held.ticket] = held
+            self._ticket_by_id[held_ticket.ticket] = held_ticket
 
     def set_stage(self, ticket: str, stage: str) -> None:
         """Sets the stage of a request that later renewals report, such as ``prefill`` or ``decode``."""
         with self._lock:
-            held = self._held_by_ticket.get(ticket)
-            if held is not None:
-                held.stage = stage
+            held_ticket = self._ticket_by_id.get(ticket)
+            if held_ticket is not None:
+                held_ticket.stage = stage
 
     def remove(self, ticket: str) -> None:
         """Stops renewing a ticket."""
         with self._lock:
-            self._held_by_ticket.pop(ticket, None)
+            self._ticket_by_id.pop(ticket, None)
 
     def renew(self) -> None:
         """Sends one renewal to each owner in parallel, except to those whose previous renewal is still running."""
         tickets_by_owner: dict[str, list[Any]] = {}
         with self._lock:
-            held = list(self._held_by_ticket.values())
-        for ticket in held:
+            held_tickets = list(self._ticket_by_id.values())
+        for ticket in held_tickets:
             owner = self._pools.owner_of(ticket.pool)
             if owner:
                 tickets_by_owner.setdefault(owner, []).append(ticket)
--- a/libs/arbutusrill_entry/_journal.py
+++ b/libs/arbutusrill_entry/_journal.py
@@ -45,7 +45,7 @@
         """Raises `FailureError` if it is too late to send the call; must run right before the first byte is sent."""
         self._journal.check_send(self._attempt, deadline)
 
-    def finish(self, answer: Answer) -> None:
+    def record_answer(self, answer: Answer) -> None:
         """Records the answer, or only that the call has run if the body is too large to record."""
         body = answer.body
         if body is None:
@@ -54,7 +54,7 @@
         headers = [(name, answer.headers_by_name[name]) for name in _RECORDED_HEADERS if name in answer.headers_by_name]
         self._journal.record_answer(self._attempt, answer.status, json.dumps(headers), body, len(body))
 
-    def fail(self, verdict: Verdict) -> None:
+    def record_failure(self, verdict: Verdict) -> None:
         """Records an attempt without an answer; only ``NOT_RUN`` allows another attempt."""
         self._journal.record_failure(self._attempt, verdict)
 
--- a/libs/arbutusrill_entry/_relay.py
+++ b/libs/arbutusrill_entry/_relay.py
@@ -110,7 +110,7 @@
             attempt_error.failure.message,
         )
         self._reservation.set_failure(attempt_error.outcome, attempt_error.failed_server)
-        if attempt == _MAX_ATTEMPTS or not self._context.take_retry():
+        if attempt == _MAX_ATTEMPTS or not self._context.try_acquire_retry():
             raise FailureError(attempt_error.failure) from None
         try:
             self._reservation.reassign(attempt_error.outcome, attempt_error.failed_server)
@@ -178,7 +178,7 @@
             self._post(assignment.decode_address, "/engine/decode", body, _STREAM_TIMEOUT_S, new_connection)
         )
 
-    def _resume(self, broken: TransferResult) -> TransferResult:
+    def _resume(self, broken_result: TransferResult) -> TransferResult:
         """Continues a broken stream over a new connection, from the next token offset.
 
         Raises `_AttemptFailedError` if the server has failed and `_EngineStateLostError` if it has lost the stream.
@@ -186,18 +186,18 @@
         assignment = self._reservation.assignment
         if len(self._texts) == self._completion.max_tokens:
             self._reader.finish_reason = "length"
-            return broken
-        attempt_error = self._make_attempt_error("decode_failed", assignment.decode_server, broken)
-        if broken.status in _STATE_LOST_STATUSES:
+            return broken_result
+        attempt_error = self._make_attempt_error("decode_failed", assignment.decode_server, broken_result)
+        if broken_result.status in _STATE_LOST_STATUSES:
             raise _EngineStateLostError(attempt_error)
-        if broken.error in ("crossed", "connect") or broken.status not in (0, 200):
+        if broken_result.error in ("crossed", "connect") or broken_result.status not in (0, 200):
             raise attempt_error
-        before = len(self._texts)
+        tokens_before = len(self._texts)
         _log.info(
             "request %s: resuming the stream after %d tokens: %s",
             self._reservation.ticket,
-            before,
-            broken.detail or "stream ended early",
+            tokens_before,
+            broken_result.detail or "stream ended early",
         )
         url = (
             f"{assignment.decode_address}/engine/streams/{self._reservation.ticket}?offset={self._reader.next_offset()}"
@@ -206,7 +206,7 @@
         result = self._stream(Transfer("GET", url, new_connection=True, timeout_s=_STREAM_TIMEOUT_S))
         if result.status in _STATE_LOST_STATUSES:
             raise _EngineStateLostError(self._make_attempt_error("decode_failed", assignment.decode_server, result))
-        if len(self._texts) == before and not self._reader.finish_reason:
+        if len(self._texts) == tokens_before and not self._reader.finish_reason:
             raise self._make_attempt_error("decode_failed", assignment.decode_server, result)
         return result
 
--- a/libs/arbutusrill_entry/_services.py
+++ b/libs/arbutusrill_entry/_services.py
@@ -73,9 +73,9 @@
         try:
             answer = service_call.run(journaled)
         except BaseException:
-            journaled.fail(service_call.verdict)
+            journaled.record_failure(service_call.verdict)
             raise
-        journaled.finish(answer)
+        journaled.record_answer(answer)
         return answer.finish(service_call.request.environ)
 
 
@@ -205,11 +205,11 @@
             raise FailureError(failure)
         if result.verdict is Verdict.NOT_RUN:
             return
-        if not self._repeatable or not self._context.take_retry():
+        if not self._repeatable or not self._context.try_acquire_retry():
             raise FailureError(failure)
 
     def _with_call_verdict(self, failure: Failure) -> FailureError:
-        """Returns an error with the worst verdict of the call's attempts and of `failure`."""
+        """Returns an error with the combined verdict of the call's attempts and `failure`."""
         verdict = self.verdict.combine(failure.verdict)
         return FailureError(Failure(failure.code, failure.message, verdict, failure.status, failure.retry_after))
 
--- a/libs/arbutusrill_gateway/_gateway.py
+++ b/libs/arbutusrill_gateway/_gateway.py
@@ -44,7 +44,7 @@
         view: SiteView,
         pool: BackendPool,
         placements: PlacementClient,
-        meter: FleetRateLimiter,
+        rate_limiter: FleetRateLimiter,
         protocol: BackendProtocol,
         metrics: GatewayMetrics,
         retry_fraction: float,
@@ -54,7 +54,7 @@
         self._view = view
         self._pool = pool
         self._placements = placements
-        self._meter = meter
+        self._rate_limiter = rate_limiter
         self._protocol = protocol
         self._metrics = metrics
         self._retry_fraction = retry_fraction
@@ -127,7 +127,7 @@
         if workspace is None or workspace.limits is None:
             return None
         tokens = _cost_tokens(workspace, request)
-        decision = self._meter.admit(workspace.name, tokens, workspace.limits)
+        decision = self._rate_limiter.admit(workspace.name, tokens, workspace.limits)
         if decision.wait_s <= 0:
             return None
         _events.emit(
@@ -180,7 +180,7 @@
             raise
         finally:
             if exchange.verdict is Verdict.NOT_RUN and workspace is not None and workspace.limits is not None:
-                self._meter.refund(workspace.name, _cost_tokens(workspace, request))
+                self._rate_limiter.refund(workspace.name, _cost_tokens(workspace, request))
             self._log(request, responder, ending, started, route, workspace, exchange)
 
     def _retry_budget(self, service: str) -> RetryBudget:
--- a/libs/arbutusrill_gateway/_placement.py
+++ b/libs/arbutusrill_gateway/_placement.py
@@ -83,7 +83,7 @@
         self._unreported_prefill_speeds: list[Any] = []
         self._leader_unavailable_until = float("-inf")
 
-    def held(self) -> list[Any]:
+    def held_places(self) -> list[Any]:
         """Returns the placements that this VM holds as `HeldPlace` messages."""
         now = self._clock.monotonic()
         with self._lock:
--- a/libs/arbutusrill_http/_transfer.py
+++ b/libs/arbutusrill_http/_transfer.py
@@ -133,12 +133,12 @@
             return _MAX_POLL_MS
         return min(_MAX_POLL_MS, max(0.0, (self._deadline - time.monotonic()) * 1000))
 
-    def run_once(self, watched: int) -> bool:
-        """Polls once and passes the events to libcurl; returns whether the peer of `watched` has closed it."""
+    def run_once(self, caller_descriptor: int) -> bool:
+        """Polls once and passes the events to libcurl; returns whether the caller has closed its connection."""
         peer_closed = False
-        timeout = self._poll_timeout_ms()
-        for descriptor, mask in self.poller.poll(timeout):
-            if descriptor == watched:
+        timeout_ms = self._poll_timeout_ms()
+        for descriptor, mask in self.poller.poll(timeout_ms):
+            if descriptor == caller_descriptor:
                 peer_closed = True
                 continue
             action = pycurl.CSELECT_IN if mask & (select.POLLIN | select.POLLHUP) else 0
@@ -165,26 +165,28 @@
     def run(self) -> TransferResult:
         loop = _current_loop()
         easy = self._make_easy_handle()
-        watched = self._transfer.caller_connection.fileno() if self._transfer.caller_connection is not None else -1
-        if watched >= 0:
-            loop.poller.register(watched, select.POLLRDHUP)
+        caller_descriptor = (
+            self._transfer.caller_connection.fileno() if self._transfer.caller_connection is not None else -1
+        )
+        if caller_descriptor >= 0:
+            loop.poller.register(caller_descriptor, select.POLLRDHUP)
         loop.multi.add_handle(easy)
         try:
             loop.multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
-            self._wait_for_end(loop, easy, watched)
+            self._wait_for_end(loop, easy, caller_descriptor)
         finally:
             loop.multi.remove_handle(easy)
-            if watched >= 0:
-                loop.poller.unregister(watched)
+            if caller_descriptor >= 0:
+                loop.poller.unregister(caller_descriptor)
             easy.close()
         if self._callback_error is not None:
             raise self._callback_error
         self._result.body = b"".join(self._body_parts)
         return self._result
 
-    def _wait_for_end(self, loop: _EventLoop, easy: pycurl.Curl, watched: int) -> None:
+    def _wait_for_end(self, loop: _EventLoop, easy: pycurl.Curl, caller_descriptor: int) -> None:
         deadline = time.monotonic() + self._transfer.timeout_s
-        stall = self._transfer.stall_s
+        stall_s = self._transfer.stall_s
         while True:
             _, done, failed = loop.multi.info_read()
             if done:
@@ -194,15 +196,15 @@
             if failed:
                 self._fail(easy, _error_from_code(failed[0][1]), failed[0][2])
                 return
-            if loop.run_once(watched):
+            if loop.run_once(caller_descriptor):
                 self._fail(easy, "gone", "the caller closed its connection")
                 return
             now = time.monotonic()
             if now >= deadline:
                 self._fail(easy, "timeout", f"no whole answer in {self._transfer.timeout_s:.3g} s")
                 return
-            if stall is not None and now - self._last_byte_at >= stall:
-                self._fail(easy, "stall", f"no byte for {stall:.3g} s")
+            if stall_s is not None and now - self._last_byte_at >= stall_s:
+                self._fail(easy, "stall", f"no byte for {stall_s:.3g} s")
                 return
             if self._transfer.should_stop is not None and self._transfer.should_stop():
                 self._fail(easy, "stopped", "stopped by this process")
--- a/libs/arbutusrill_limits/__init__.py
+++ b/libs/arbutusrill_limits/__init__.py
@@ -2,7 +2,7 @@
 
 from ._bucket import Bucket, GrantBoundError, Limits, WindowBound
 from ._fleet_buckets import FleetBuckets, FleetLevels, SpendReport
-from ._fleet_meter import FleetRateLimiter, RateAuthority, RateAuthorityUnavailableError, RateDecision
+from ._fleet_rate_limiter import FleetRateLimiter, RateAuthority, RateAuthorityUnavailableError, RateDecision
 from ._leases import Charge, TokenLeases
 from ._owner import GrantOwner
 
--- a/libs/arbutusrill_limits/_fleet_buckets.py
+++ b/libs/arbutusrill_limits/_fleet_buckets.py
@@ -17,13 +17,13 @@
 class SpendReport:
     """Report of an entry VM to the leader.
 
-    `spent` holds the tokens by workspace since the VM's start; a report that is not `whole` omits workspaces whose
-    totals have not changed. A whole report also holds the `levels` that the VM received `levels_age_s` seconds ago, and
+    `spent` holds the tokens by workspace since the VM's start; a report without `is_full` omits workspaces whose
+    totals have not changed. A full report also holds the `levels` that the VM received `levels_age_s` seconds ago, and
     in `uncounted` the tokens by workspace that it has spent or been granted since then.
     """
 
     spent: dict[str, float]
-    whole: bool = False
+    is_full: bool = False
     levels: dict[str, float] = field(default_factory=dict)
     levels_age_s: float = 0.0
     uncounted: dict[str, float] = field(default_factory=dict)
@@ -33,7 +33,7 @@
 class FleetLevels:
     """Levels in tokens of the buckets that are not full.
 
-    `is_reporter_known` is False until the VM has sent a whole report.
+    `is_reporter_known` is False until the VM has sent a full report.
     """
 
     tokens_by_workspace: dict[str, float]
@@ -61,7 +61,7 @@
 
     >>> from arbutusrill_base import ManualClock
     >>> buckets = FleetBuckets(lambda workspace: Limits(10.0, 100.0), ManualClock())
-    >>> buckets.report("vm-1", 1, SpendReport({"clinic": 0.0}, whole=True)).tokens_by_workspace
+    >>> buckets.report("vm-1", 1, SpendReport({"clinic": 0.0}, is_full=True)).tokens_by_workspace
     {}
     >>> buckets.report("vm-1", 1, SpendReport({"clinic": 30.0})).tokens_by_workspace
     {'clinic': 70.0}
@@ -84,14 +84,14 @@
     def report(self, vm: str, incarnation: int, report: SpendReport) -> FleetLevels:
         """Deducts what an entry VM has spent; returns the levels of the buckets that are not full.
 
-        The totals of the VM's first whole report are only a baseline, because a new leader does not know how much of
+        The totals of the VM's first full report are only a baseline, because a new leader does not know how much of
         them the previous leader has deducted. Reports before it are not deducted.
         """
         now = self._clock.monotonic()
         with self._lock:
             counted_totals = self._spent_by_reporter.get((vm, incarnation))
             if counted_totals is None:
-                if not report.whole:
+                if not report.is_full:
                     return FleetLevels({}, is_reporter_known=False)
                 self._spent_by_reporter[vm, incarnation] = dict(report.spent)
                 self._restore_levels(report, now)
@@ -104,7 +104,7 @@
     def charge(self, vm: str, incarnation: int, workspace: str, tokens: float) -> float | None:
         """Deducts `tokens` and returns 0, or returns the seconds until enough tokens will have accrued.
 
-        Returns None for a VM that has not sent a whole report. A charge larger than the bucket is accepted when the
+        Returns None for a VM that has not sent a full report. A charge larger than the bucket is accepted when the
         bucket is full.
         """
         now = self._clock.monotonic()
@@ -154,7 +154,7 @@
         return FleetLevels(levels)
 
     def drop_reporter(self, vm: str, incarnation: int) -> None:
-        """Drops the reported totals of an entry VM, which then has to send a whole report."""
+        """Drops the reported totals of an entry VM, which then has to send a full report."""
         with self._lock:
             self._spent_by_reporter.pop((vm, incarnation), None)
 
--- a/libs/arbutusrill_limits/_fleet_meter.py
+++ b/libs/arbutusrill_limits/_fleet_rate_limiter.py
@@ -27,7 +27,7 @@
 
 
 class RateAuthorityUnavailableError(Exception):
-    """Raised when the leader did not reply or has not yet received a whole report from this VM."""
+    """Raised when the leader did not reply or has not yet received a full report from this VM."""
 
 
 class RateAuthority(abc.ABC):
@@ -86,7 +86,7 @@
         # Tokens, sent by the leader or implied by its refusals; full buckets are missing.
         self._level_by_workspace: dict[str, float] = {}
         self._levels_received_at = float("-inf")
-        self._whole_report_due = True
+        self._full_report_due = True
         self._leader_unavailable_until = float("-inf")
 
     def admit(self, workspace: str, tokens: float, limits: Limits) -> RateDecision:
@@ -179,13 +179,13 @@
                 account.share.tokens += tokens
 
     def report(self) -> SpendReport:
-        """Returns the next report: a whole one if the leader does not know this VM, otherwise the changed totals."""
+        """Returns the next report: a full one if the leader does not know this VM, otherwise the changed totals."""
         now = self._clock.monotonic()
         with self._lock:
             accounts = self._account_by_workspace.items()
             for _, account in accounts:
                 account.granted_before_report = account.granted
-            if not self._whole_report_due:
+            if not self._full_report_due:
                 return SpendReport(
                     {workspace: account.spent for workspace, account in accounts if account.spent != account.reported}
                 )
@@ -204,7 +204,7 @@
     def apply_levels(self, report: SpendReport, levels: FleetLevels) -> None:
         """Applies the reply to `report`; buckets that are missing in `levels` are full."""
         with self._lock:
-            self._whole_report_due = not levels.is_reporter_known
+            self._full_report_due = not levels.is_reporter_known
             if not levels.is_reporter_known:
                 return
             self._level_by_workspace = levels.tokens_by_workspace
--- a/libs/arbutusrill_limits/tests/test_fleet.py
+++ b/libs/arbutusrill_limits/tests/test_fleet.py
@@ -32,7 +32,7 @@
     """One entry VM that polls the leader as its follower does."""
 
     def __init__(self, leader, name="vm-1", count=1, slack=0.0):
-        self.meter = FleetRateLimiter(leader.clock, self, lambda: count, slack)
+        self.rate_limiter = FleetRateLimiter(leader.clock, self, lambda: count, slack)
         self.leader, self.name = leader, name
 
     def charge(self, workspace, tokens):
@@ -43,12 +43,12 @@
         return wait_s
 
     def poll(self):
-        report = self.meter.report()
-        self.meter.apply_levels(report, self.leader.buckets.report(self.name, 1, report))
+        report = self.rate_limiter.report()
+        self.rate_limiter.apply_levels(report, self.leader.buckets.report(self.name, 1, report))
 
     def admit(self, tokens):
         """Returns None if the request is admitted, else its wait in seconds."""
-        self.last_decision = self.meter.admit("clinic", tokens, self.leader.limits)
+        self.last_decision = self.rate_limiter.admit("clinic", tokens, self.leader.limits)
         return self.last_decision.wait_s or None
 
 
@@ -118,7 +118,7 @@
 
 
 def test_vm_that_the_leader_has_forgotten_is_charged_again_from_then_on(leader):
-    # The leader drops a suspended VM; it once never asked the VM for a whole report again under the same leader.
+    # The leader drops a suspended VM; it once never asked the VM for a full report again under the same leader.
     entry, other = EntryVm(leader), EntryVm(leader, "vm-2")
     entry.poll()
     other.poll()
@@ -130,7 +130,7 @@
     assert other.admit(80.0) == pytest.approx(2.0)
 
 
-def test_partial_report_before_a_whole_one_charges_nothing(leader):
+def test_partial_report_before_a_full_one_charges_nothing(leader):
     answer = leader.buckets.report("vm-1", 1, SpendReport({"clinic": 500.0}))
     assert answer.tokens_by_workspace == {} and not answer.is_reporter_known
     answer = leader.buckets.report("vm-1", 1, SpendReport({"clinic": 500.0, "desk": 900.0}, True))
@@ -139,7 +139,7 @@
     assert answer.tokens_by_workspace == {"clinic": 70.0}
 
 
-def test_workspace_that_a_whole_report_did_not_name_is_charged_from_its_first_request(leader):
+def test_workspace_that_a_full_report_did_not_name_is_charged_from_its_first_request(leader):
     leader.buckets.report("vm-1", 1, SpendReport({}, True))
     answer = leader.buckets.report("vm-1", 1, SpendReport({"clinic": 30.0}))
     assert answer.tokens_by_workspace == {"clinic": 70.0}
@@ -195,7 +195,7 @@
     entry = EntryVm(leader)
     entry.poll()
     assert entry.admit(100.0) is None
-    entry.meter.refund("clinic", 100.0)
+    entry.rate_limiter.refund("clinic", 100.0)
     entry.poll()
     assert entry.admit(100.0) is None
 
--- a/libs/arbutusrill_pool/__init__.py
+++ b/libs/arbutusrill_pool/__init__.py
@@ -4,7 +4,7 @@
 from ._engine_calls import EngineCallQueue, EngineClient, EngineRequest, HttpEngineClient, OrderAnswer
 from ._orders import OrderRunner
 from ._owner import PoolOwner
-from ._policy import POLICIES, PlacementPolicy, PlacementRequest, policy_named
+from ._policy import POLICIES, PlacementPolicy, PlacementRequest, create_policy
 from ._ticket import Placement
 
 __all__ = [
@@ -20,5 +20,5 @@
     "PlacementRequest",
     "PoolDirectory",
     "PoolOwner",
-    "policy_named",
+    "create_policy",
 ]
--- a/libs/arbutusrill_pool/_dispatch.py
+++ b/libs/arbutusrill_pool/_dispatch.py
@@ -13,7 +13,7 @@
 from ._allocations import AllocationTable
 from ._fair_queue import FairQueue, Share
 from ._index import ServerIndex
-from ._policy import PlacementPolicy, PlacementRequest, policy_named
+from ._policy import PlacementPolicy, PlacementRequest, create_policy
 from ._prefixes import PrefixIndex
 from ._ticket import Band, Placement, Ticket
 
@@ -49,8 +49,8 @@
     ):
         self.averages = PoolAverages()
         self.ticket_by_id: dict[str, Ticket] = {}
-        self.plain = False  # whether the pool's servers have no prefill and decode stages
-        self.policy: PlacementPolicy = policy_named(config_value("policy.name"))
+        self.is_single_stage = False  # whether the pool's servers have no prefill and decode stages
+        self.policy: PlacementPolicy = create_policy(config_value("policy.name"))
         self._index = index
         self._queue = queue
         self._allocations = allocations
@@ -63,12 +63,18 @@
         """Places or queues a new ticket, or refuses it if the queue is full or its first token would be late."""
         request = ticket.request
         self.ticket_by_id[ticket.id] = ticket
-        idle_first_token_s = self.averages.prefill_duration_s(request) + self.averages.gap_s if not self.plain else 0.0
+        idle_first_token_s = (
+            self.averages.prefill_duration_s(request) + self.averages.gap_s if not self.is_single_stage else 0.0
+        )
         limit = wait_limit_of(
-            request, self.plain, idle_first_token_s, self.averages.decode_duration_s(request), self._config_value
+            request,
+            self.is_single_stage,
+            idle_first_token_s,
+            self.averages.decode_duration_s(request),
+            self._config_value,
         )
         ticket.first_token_due_at, ticket.band = now + limit.first_token_s, limit.band
-        ticket.cost = self.averages.predicted_cost(request, self.plain)
+        ticket.cost = self.averages.predicted_cost(request, self.is_single_stage)
         if self._queue.length >= MAX_QUEUED_TICKETS:
             self.refuse(ticket, "queue_full", f"{MAX_QUEUED_TICKETS} requests are waiting for this pool", 1.0)
             return
@@ -90,9 +96,9 @@
         """Queues a new ticket while the owner still recovers the assignments of an earlier owner."""
         self.ticket_by_id[ticket.id] = ticket
         decode_s = self.averages.decode_duration_s(ticket.request)
-        limit = wait_limit_of(ticket.request, self.plain, 0.0, decode_s, self._config_value)
+        limit = wait_limit_of(ticket.request, self.is_single_stage, 0.0, decode_s, self._config_value)
         ticket.first_token_due_at, ticket.band = now + limit.first_token_s, limit.band
-        ticket.cost = self.averages.predicted_cost(ticket.request, self.plain)
+        ticket.cost = self.averages.predicted_cost(ticket.request, self.is_single_stage)
         self._enqueue(ticket, now)
 
     def _enqueue(self, ticket: Ticket, now: float) -> None:
@@ -134,7 +140,7 @@
                     failures_left -= 1
 
     def _has_servers(self) -> bool:
-        stages = ("plain",) if self.plain else ("prefill", "decode")
+        stages = ("plain",) if self.is_single_stage else ("prefill", "decode")
         return all(self._index.stage(stage).ready.members for stage in stages)
 
     def _can_dispatch(self) -> bool:
@@ -143,7 +149,7 @@
             return False
         if not self.policy.reserves:
             return self._has_servers()
-        stages = ("plain",) if self.plain else ("prefill", "decode")
+        stages = ("plain",) if self.is_single_stage else ("prefill", "decode")
         return all(self._index.stage(stage).open.members for stage in stages)
 
     def _try_placing(self, ticket: Ticket, now: float) -> bool:
@@ -178,7 +184,7 @@
     def _placement_request(self, ticket: Ticket) -> PlacementRequest:
         request = ticket.request
         placement_request = PlacementRequest(
-            request.prompt_tokens, self.plain, request.data_centre, frozenset(request.avoid or ())
+            request.prompt_tokens, self.is_single_stage, request.data_centre, frozenset(request.avoid or ())
         )
         if request.prefix_blocks:
             blocks = request.prefix_blocks
@@ -195,7 +201,7 @@
         """
         if ticket.request.avoid:  # a retry names the servers to avoid
             return False
-        stage = self._index.stage("plain" if self.plain else "decode")
+        stage = self._index.stage("plain" if self.is_single_stage else "decode")
         several_servers = len(stage.ready.members) > 1
         if (
             ticket.band is Band.DEFERRED
@@ -209,7 +215,7 @@
         if self._must_leave_free(share, "decode_s", stage.free, stage.slots, now):
             return True
         prefill = self._index.stage("prefill")
-        return not self.plain and self._must_leave_free(
+        return not self.is_single_stage and self._must_leave_free(
             share, "prefill_s", prefill.idle, len(prefill.ready.members), now
         )
 
@@ -261,6 +267,6 @@
         for ticket in waiting:
             self._queue.remove(ticket)
         self._log.info("placement policy changed from %s to %s", self.policy.name, name)
-        self.policy = policy_named(name)
+        self.policy = create_policy(name)
         for ticket in waiting:
             self._enqueue(ticket, now)
--- a/libs/arbutusrill_pool/_owner.py
+++ b/libs/arbutusrill_pool/_owner.py
@@ -298,7 +298,7 @@
                 announcement.address, lambda engine_requests: self._on_requests_read(server.id, engine_requests)
             )
         server.drained = server.id in self._drained_ids
-        self._dispatcher.plain = announcement.role == "plain"
+        self._dispatcher.is_single_stage = announcement.role == "plain"
         self._index.record_announcement(server)
         self._index.update(server, now)
         if len(self._index.by_id) <= _SMALL_POOL_SERVERS:
--- a/libs/arbutusrill_pool/_policy.py
+++ b/libs/arbutusrill_pool/_policy.py
@@ -12,7 +12,7 @@
 from ._server import Server
 from ._ticket import Placement
 
-__all__ = ["POLICIES", "PlacementPolicy", "PlacementRequest", "policy_named"]
+__all__ = ["POLICIES", "PlacementPolicy", "PlacementRequest", "create_policy"]
 
 # Two random choices balance load almost as well as many; more are needed as servers differ in speed.
 LOCAL_CANDIDATES = 4
@@ -223,10 +223,10 @@
 }
 
 
-def policy_named(name: Any) -> PlacementPolicy:
+def create_policy(name: Any) -> PlacementPolicy:
     """Returns a new policy. An unknown name, such as one of a newer version, gives `Reserving`.
 
-    >>> policy_named("least_loaded").reserves
+    >>> create_policy("least_loaded").reserves
     False
     """
     return POLICIES.get(name, Reserving)()
--- a/libs/arbutusrill_pool/tests/test_policy.py
+++ b/libs/arbutusrill_pool/tests/test_policy.py
@@ -5,7 +5,7 @@
 import pytest
 from arbutusrill_wire import messages
 
-from arbutusrill_pool import PlacementPolicy, policy_named
+from arbutusrill_pool import PlacementPolicy, create_policy
 from arbutusrill_pool.tests.support import PoolFixture, announcement, release
 
 
@@ -55,7 +55,7 @@
 
 
 def test_unknown_policy_name_gives_the_reserving_one():
-    policy = policy_named("of-a-newer-version")
+    policy = create_policy("of-a-newer-version")
     assert isinstance(policy, PlacementPolicy)
     assert policy.reserves
 
--- a/libs/arbutusrill_site/_configuration.py
+++ b/libs/arbutusrill_site/_configuration.py
@@ -46,7 +46,8 @@
     """Handling of the requests with one host and path prefix. Times are in seconds.
 
     `max_attempts` bounds the number of backend servers that one request is sent to. A `resumable` stream may continue
-    at another backend server. `event_gap_s` is the longest pause between events that callers accept.
+    at another backend server. Requests of a `public` route need no API key. `event_gap_s` is the longest pause between
+    events that callers accept.
     """
 
     name: str
@@ -165,8 +166,8 @@
 
     def route_of(self, host: str, path: str) -> Route | None:
         """Returns the route with the longest prefix of `path` among those of `host`."""
-        name = host.partition(":")[0].lower()
-        for route in self.routes_by_host.get(name, ()):
+        hostname = host.partition(":")[0].lower()
+        for route in self.routes_by_host.get(hostname, ()):
             if path.startswith(route.prefix):
                 return route
         return None
--- a/libs/arbutusrill_site/_directory.py
+++ b/libs/arbutusrill_site/_directory.py
@@ -25,10 +25,10 @@
 
         This VM is listed by its current state, since the record at the leader may be older.
         """
-        listed = {record.address for record in self._view.entries_by_id.values() if record.state == "ready"}
+        ready_addresses = {record.address for record in self._view.entries_by_id.values() if record.state == "ready"}
         if self._follower.state == "ready":
-            listed.add(self._address)
+            ready_addresses.add(self._address)
         else:
-            listed.discard(self._address)
-        chosen = sorted(listed)
-        return random.sample(chosen, _MAX_ADDRESSES) if len(chosen) > _MAX_ADDRESSES else chosen
+            ready_addresses.discard(self._address)
+        addresses = sorted(ready_addresses)
+        return random.sample(addresses, _MAX_ADDRESSES) if len(addresses) > _MAX_ADDRESSES else addresses
--- a/libs/arbutusrill_site/_entries.py
+++ b/libs/arbutusrill_site/_entries.py
@@ -30,11 +30,11 @@
     def record_heartbeat(self, record: Any, incarnation: int, uses: list[Any]) -> None:
         """Records a poll of an entry VM with its state and its load on backend servers."""
         with self._changed:
-            known = self._record_by_id.get(record.id)
+            previous_record = self._record_by_id.get(record.id)
             self._last_heard_by_id[record.id] = self._clock.monotonic()
             self._uses_by_id[record.id] = uses
             self._incarnation_by_id[record.id] = incarnation
-            if known != record:
+            if previous_record != record:
                 self._record_by_id[record.id] = record
                 _events.emit("entry_changed", entry=record.id, address=record.address, state=record.state)
                 self._increment_revision()
--- a/libs/arbutusrill_site/_follower.py
+++ b/libs/arbutusrill_site/_follower.py
@@ -73,7 +73,7 @@
         incarnation: int,
         client: ControlClient,
         clock: Clock,
-        meter: FleetRateLimiter,
+        rate_limiter: FleetRateLimiter,
         decode: Callable[[bytes], Any],
         backend_loads: Callable[[], list[Any]],
         places: Callable[[], list[Any]],
@@ -85,7 +85,7 @@
         self._incarnation = incarnation
         self._client = client
         self._clock = clock
-        self._meter = meter
+        self._rate_limiter = rate_limiter
         self._decode = decode
         self._backend_loads = backend_loads
         self._places = places
@@ -140,7 +140,7 @@
             _events.emit(event, reason=reason, version=self.view.version, age_s=self.view.age_s())
 
     def _poll(self, wait_ms: int) -> None:
-        report = self._meter.report()
+        report = self._rate_limiter.report()
         entry = self._entry
         request = messages.SiteFollowRequest(
             messages.EntryRecord(entry.id, entry.address, entry.data_centre, self.state),
@@ -153,7 +153,7 @@
             report.spent,
             self._backend_loads(),
             self._places(),
-            report.whole,
+            report.is_full,
             report.levels,
             report.levels_age_s,
             report.uncounted,
@@ -162,7 +162,7 @@
         reply = self._client.call("follow_site", request, timeout=_CALL_TIMEOUT_S, try_timeout=wait_ms / 1000 + 0.35)
         with self._state_lock:
             self._apply_reply(reply)
-        self._meter.apply_levels(report, FleetLevels(reply.available or {}, reply.counted))
+        self._rate_limiter.apply_levels(report, FleetLevels(reply.available or {}, reply.counted))
         self.view.last_poll_sent_at = sent_at
         self._client.set_addresses(reply.control or [])
 
--- a/libs/arbutusrill_site/_registry.py
+++ b/libs/arbutusrill_site/_registry.py
@@ -57,7 +57,11 @@
         if not self._complete and now - self._collecting_since >= self._silence_timeout_s:
             self._complete = True
             self._increment_revision()
-        return [id_ for id_, heard in self._last_heard_by_id.items() if now - heard > self._silence_timeout_s]
+        return [
+            id_
+            for id_, last_heard_at in self._last_heard_by_id.items()
+            if now - last_heard_at > self._silence_timeout_s
+        ]
 
     def _increment_revision(self) -> None:
         self.revision += 1
--- a/libs/arbutusrill_wire/_client.py
+++ b/libs/arbutusrill_wire/_client.py
@@ -42,7 +42,7 @@
         self.address = address
         self._host_and_port = split_address(address)
         self._lock = threading.Lock()
-        self._idle: deque[tuple[float, socket.socket]] = deque()
+        self._idle_connections: deque[tuple[float, socket.socket]] = deque()
         self._sequence = itertools.count(1)
         self._closed = False
 
@@ -84,10 +84,10 @@
         min_idle_since = time.monotonic() - _MAX_IDLE_S
         while True:
             with self._lock:
-                if not self._idle:
+                if not self._idle_connections:
                     break
-                since, connection = self._idle.pop()
-            if since >= min_idle_since:
+                idle_since, connection = self._idle_connections.pop()
+            if idle_since >= min_idle_since:
                 return connection
             connection.close()
         try:
@@ -99,8 +99,8 @@
 
     def _release_connection(self, connection: socket.socket) -> None:
         with self._lock:
-            if not self._closed and len(self._idle) < _MAX_IDLE_CONNECTIONS:
-                self._idle.append((time.monotonic(), connection))
+            if not self._closed and len(self._idle_connections) < _MAX_IDLE_CONNECTIONS:
+                self._idle_connections.append((time.monotonic(), connection))
                 return
         connection.close()
 
@@ -108,8 +108,8 @@
         """Closes the idle connections; calls in progress finish."""
         with self._lock:
             self._closed = True
-            idle = [connection for _, connection in self._idle]
-            self._idle.clear()
+            idle = [connection for _, connection in self._idle_connections]
+            self._idle_connections.clear()
         for connection in idle:
             connection.close()
 
